--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 up: $(VENV)/ready
 	python -m standins layout run
 	scripts/up.sh run
-	python scripts/story.py run --only-pool
+	python scripts/demo.py run --only-pool
 
 down:
 	scripts/down.sh run
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -8,7 +8,7 @@
 import typer
 
 from benchmarks.experiments import EXPERIMENTS
-from benchmarks.figures import merged
+from benchmarks.measurements import merged
 from benchmarks.model import DEPLOYMENTS
 
 
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.capacity_scale import SECONDS_PER_DAY, Row, Scale
-from wharftiller.core.spreading import CHANGES_KEPT
+from wharftiller.core.configuration_changes import CHANGES_KEPT
 
 Slopes = dict[str, float]
 
--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -15,8 +15,8 @@
 import attrs
 import trio
 
-from benchmarks.figures import Figure, percentile
 from benchmarks.load import Load
+from benchmarks.measurements import Figure, percentile
 from benchmarks.model import BUSINESSES, Deployment, Mix
 from wharftiller.tests.fakes.world import Size, World, run_world
 
--- a/benchmarks/live.py
+++ b/benchmarks/live.py
@@ -19,7 +19,7 @@
 import attrs
 import trio
 
-from benchmarks.figures import Figure, merged, percentile
+from benchmarks.measurements import Figure, merged, percentile
 from standins.layout import BUSINESSES, POOL, SECRET
 from wharftiller.edges.http_client import HttpConnection
 from wharftiller.edges.transport import TcpTransport
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from wharftiller.core.sessions.figures import AnswerLabels, Figures
+from wharftiller.core.sessions.metrics import AnswerLabels, Figures
 from wharftiller.core.sessions.session import Session
 from wharftiller.core.sessions.statements import (
     Access,
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -22,13 +22,13 @@
 
 from benchmarks.live import SLOPES_FILE, Place, _pid
 from wharftiller.core.configuration import Configuration, EndpointSpec, GroupSpec, PoolSpec
-from wharftiller.core.messages import ConfigurationArrived, Report
-from wharftiller.core.spreading import (
+from wharftiller.core.configuration_changes import (
     ConfigurationChange,
     ConfigurationHolder,
     change_between,
     changed,
 )
+from wharftiller.core.messages import ConfigurationArrived, Report
 from wharftiller.core.steward import StewardCore
 from wharftiller.core.watching import WATCH_SHARDS, watch_rank
 from wharftiller.edges.codec import from_peer, to_json
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -6,4 +6,4 @@
 trap 'scripts/down.sh "$folder"; rm -rf "$folder"' EXIT
 python -m standins layout "$folder"
 scripts/up.sh "$folder"
-python scripts/story.py "$folder"
+python scripts/demo.py "$folder"
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -8,7 +8,7 @@
 python -m standins layout "$large" --groups 6 --boxes 1 --data-centres 1
 for folder in "$small" "$large"; do
   scripts/up.sh "$folder"
-  python scripts/story.py "$folder" --only-pool >/dev/null
+  python scripts/demo.py "$folder" --only-pool >/dev/null
 done
 sleep 3
 python -m benchmarks.slopes "$small" "$large"
--- a/wharftiller/cli/wharfctl.py
+++ b/wharftiller/cli/wharfctl.py
@@ -19,8 +19,8 @@
 from wharftiller.cli.report_tables import tables_of
 from wharftiller.core.errors import BadRequestError
 from wharftiller.core.sessions.workspaces import digest_of_key, fingerprint
-from wharftiller.decision_story import LoggedEvent, read_events, story_of
 from wharftiller.keys import KeyRing
+from wharftiller.request_timeline import LoggedEvent, read_events, story_of
 from wharftiller.run_report import report_of
 from wharftiller.settings import SettingsErrorGroup, load_settings
 from wharftiller.traces import read_trace
--- a/wharftiller/core/answers.py
+++ b/wharftiller/core/answers.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING, Any
 
-from wharftiller.core.covering import answer_position
 from wharftiller.core.messages import Answer, AnswerCaller, Outcome, Request, Role
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.reasons import Decision, Reason, ReasonKind
+from wharftiller.core.replication import answer_position
 
 if TYPE_CHECKING:
     from wharftiller.core.messages import EndpointAnswer
--- a/wharftiller/core/leadership/doubts.py
+++ b/wharftiller/core/leadership/verification.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from wharftiller.core.leadership.moves import TAKE_OVER_ORDERED_S
+from wharftiller.core.leadership.failover import TAKE_OVER_ORDERED_S
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.record import Leading
--- a/wharftiller/core/lifecycle.py
+++ b/wharftiller/core/lifecycle.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from wharftiller.core import answers
-from wharftiller.core.covering import Check, check_answer, cover_target
 from wharftiller.core.dispatch import close_connection
 from wharftiller.core.messages import Action, EndpointAnswer, Lane, Role, Verdict
 from wharftiller.core.reasons import Reason, ReasonKind
+from wharftiller.core.replication import Check, check_answer, cover_target
 from wharftiller.core.reports import want_cover, want_report
 from wharftiller.core.routing import choose_line
 from wharftiller.core.tables import Phase
--- a/wharftiller/core/routing.py
+++ b/wharftiller/core/routing.py
@@ -21,7 +21,7 @@
     """Return why ``server`` should not be asked, or None if it may be.
 
     What is known of a replica is a hint: the answer itself is checked again
-    (see `wharftiller.core.covering.check_answer`).
+    (see `wharftiller.core.replication.check_answer`).
     """
     name = server.name
     if name in row.tried:
--- a/wharftiller/core/sessions/allowances/__init__.py
+++ b/wharftiller/core/sessions/allowances/__init__.py
@@ -14,13 +14,13 @@
 
 from wharftiller.core.sessions.allowances.bounds import TOKEN_LIFE_S, AllowanceBounds
 from wharftiller.core.sessions.allowances.buckets import HELD_S, MOST_HELD, HeldTokens
-from wharftiller.core.sessions.allowances.keepers import (
+from wharftiller.core.sessions.allowances.shares import LoanAnswer, LoanQuestion
+from wharftiller.core.sessions.allowances.token_allocator import (
     AllowanceKeeper,
     Grant,
     KeeperHistory,
     keeper_order,
 )
-from wharftiller.core.sessions.allowances.shares import LoanAnswer, LoanQuestion
 
 __all__ = [
     "HELD_S",
--- a/wharftiller/core/sessions/allowances/keepers.py
+++ b/wharftiller/core/sessions/allowances/token_allocator.py
@@ -11,7 +11,7 @@
 from wharftiller.core.sessions.allowances.bounds import TOKEN_LIFE_S, bucket_size, own_share
 from wharftiller.core.sessions.allowances.buckets import TokenBucket
 from wharftiller.core.sessions.allowances.shares import AllowanceShare
-from wharftiller.core.sessions.signs_of_life import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import SignOfLife
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
--- a/wharftiller/core/sessions/come_back.py
+++ b/wharftiller/core/sessions/retry_after.py
@@ -11,9 +11,9 @@
 
 import attrs
 
-from wharftiller.core.leadership.doubts import ORDERS_EFFECT_S
+from wharftiller.core.leadership.failover import UNREACHABLE_BEHIND_CUT_S, UNREACHABLE_S
 from wharftiller.core.leadership.lease import LEASE_S, UNSETTLED_S
-from wharftiller.core.leadership.moves import UNREACHABLE_BEHIND_CUT_S, UNREACHABLE_S
+from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 
 SOON_S = 0.3
 """When most of what passes by itself has passed, in seconds.
--- a/wharftiller/core/sessions/statements.py
+++ b/wharftiller/core/sessions/statements.py
@@ -10,7 +10,7 @@
 from wharftiller.core.positions import LogPosition
 
 if TYPE_CHECKING:
-    from wharftiller.core.sessions.come_back import Cause
+    from wharftiller.core.sessions.retry_after import Cause
 
 
 class Access(enum.Enum):
--- a/wharftiller/daemons/spreader.py
+++ b/wharftiller/daemons/configuration_distributor.py
@@ -9,9 +9,9 @@
 import trio
 
 from wharftiller.core.configuration import Configuration
+from wharftiller.core.configuration_changes import ConfigurationHolder, relays
 from wharftiller.core.errors import ExchangeError, PlatformUnavailableError
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.spreading import ConfigurationHolder, relays
 from wharftiller.edges.codec import from_caller
 from wharftiller.edges.configuration_store import HEAD_KEY, ConfigurationStore
 from wharftiller.edges.http_server import HttpRequest, HttpResponse
--- a/wharftiller/daemons/proxy.py
+++ b/wharftiller/daemons/proxy.py
@@ -9,6 +9,7 @@
 import attrs
 import trio
 
+from wharftiller.core.configuration_changes import ConfigurationHolder
 from wharftiller.core.errors import ExchangeError, UnknownPathError
 from wharftiller.core.messages import (
     Answer,
@@ -28,7 +29,6 @@
     Tick,
 )
 from wharftiller.core.proxy import ProxyCore
-from wharftiller.core.spreading import ConfigurationHolder
 from wharftiller.edges.callers import answer_statement
 from wharftiller.edges.codec import from_caller, to_json
 from wharftiller.edges.endpoints import ReportLanes, StatementConnections
--- a/wharftiller/daemons/sessions/allowances/gate.py
+++ b/wharftiller/daemons/sessions/allowances/rate_limiter.py
@@ -14,15 +14,15 @@
     HeldTokens,
     keeper_order,
 )
-from wharftiller.core.sessions.come_back import SOON_S, Cause
+from wharftiller.core.sessions.retry_after import SOON_S, Cause
 from wharftiller.daemons.sessions.serving.routed import NoTokenError
 from wharftiller.edges.allowances_json import TokenQuestion
 
 if TYPE_CHECKING:
     from wharftiller.core.sessions.allowances import Grant
     from wharftiller.core.sessions.workspaces import Workspace
-    from wharftiller.daemons.sessions.allowances.keeper_desk import KeeperDesk
-    from wharftiller.daemons.sessions.allowances.keeper_links import KeeperLinks
+    from wharftiller.daemons.sessions.allowances.token_client import KeeperLinks
+    from wharftiller.daemons.sessions.allowances.token_server import KeeperDesk
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
--- a/wharftiller/daemons/sessions/allowances/keeper_desk.py
+++ b/wharftiller/daemons/sessions/allowances/token_server.py
@@ -9,7 +9,7 @@
 
 from wharftiller.core.errors import ExchangeError
 from wharftiller.core.sessions.allowances import AllowanceKeeper, KeeperHistory, keeper_order
-from wharftiller.core.sessions.signs_of_life import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import SignOfLife
 from wharftiller.edges.allowances_json import (
     TokenQuestion,
     grant_to_json,
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from wharftiller.core.sessions.allowances import AllowanceBounds, Grant, LoanQuestion
     from wharftiller.core.sessions.workspaces import Workspace
-    from wharftiller.daemons.sessions.allowances.keeper_links import KeeperLinks
+    from wharftiller.daemons.sessions.allowances.token_client import KeeperLinks
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.box_list import BoxList
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -11,17 +11,17 @@
 
 from wharftiller.core.errors import EndpointRefusedError, ExchangeError
 from wharftiller.core.sessions.concurrency import ConcurrencyLimit
-from wharftiller.core.sessions.figures import ConnectionCounts
-from wharftiller.core.sessions.waiting import WaitLimit
-from wharftiller.daemons.sessions.connections.place_queue import PlaceQueue, Turn, Waiter
+from wharftiller.core.sessions.metrics import ConnectionCounts
+from wharftiller.core.sessions.wait_limits import WaitLimit
 from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
+from wharftiller.daemons.sessions.connections.wait_queue import PlaceQueue, Turn, Waiter
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from wharftiller.core.sessions.endpoints import EndpointRow
     from wharftiller.core.sessions.session import Session
-    from wharftiller.daemons.sessions.seams import EndpointConnection, EndpointDialer
+    from wharftiller.daemons.sessions.interfaces import EndpointConnection, EndpointDialer
 
 OPEN_TIMEOUT_S = 0.7
 """Time to open a connection, in seconds: a lost first packet is sent again after more."""
--- a/wharftiller/daemons/sessions/connections/pooled_connection.py
+++ b/wharftiller/daemons/sessions/connections/pooled_connection.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from wharftiller.core.sessions.session import Session
     from wharftiller.daemons.sessions.connections.pool import EndpointPool
-    from wharftiller.daemons.sessions.seams import EndpointConnection
+    from wharftiller.daemons.sessions.interfaces import EndpointConnection
 
 OwnStatement = ResetSession | SetValue | Prepare
 """What a box runs for itself before a caller's statement."""
--- a/wharftiller/daemons/sessions/connections/probes.py
+++ b/wharftiller/daemons/sessions/connections/probes.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from wharftiller.core.sessions.endpoints import EndpointRow
     from wharftiller.core.sessions.statements import EndpointStatus
+    from wharftiller.daemons.sessions.interfaces import EndpointDialer
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.seams import EndpointDialer
     from wharftiller.daemons.sessions.state import SharedState
 
 PROBE_S = 0.3
--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -7,15 +7,15 @@
 import trio
 
 from wharftiller.core.sessions.endpoints import EndpointRow
-from wharftiller.core.sessions.knowledge import digest_of
+from wharftiller.core.sessions.state_versions import digest_of
 from wharftiller.daemons.sessions.connections.pool import EndpointPool
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from wharftiller.core.sessions.figures import Figures
+    from wharftiller.core.sessions.metrics import Figures
     from wharftiller.core.sessions.routes import EndpointEntry
-    from wharftiller.daemons.sessions.seams import EndpointDialer
+    from wharftiller.daemons.sessions.interfaces import EndpointDialer
     from wharftiller.decisions import DecisionLog
 
 
--- a/wharftiller/daemons/sessions/homes/forwarded.py
+++ b/wharftiller/daemons/sessions/forwarding/executor.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.core.errors import BadRequestError
-from wharftiller.core.sessions.come_back import Cause
+from wharftiller.core.sessions.retry_after import Cause
 from wharftiller.core.sessions.session import Session
 from wharftiller.core.sessions.statements import Execute, RefusalKind, SessionState, refused
 from wharftiller.daemons.sessions.serving.routed import StatementRefusedError
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from wharftiller.core.sessions.statements import Reply
-    from wharftiller.daemons.sessions.allowances.gate import AllowanceGate
+    from wharftiller.daemons.sessions.allowances.rate_limiter import AllowanceGate
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.edges.forwarded_json import ForwardedStatement
 
--- a/wharftiller/daemons/sessions/homes/forwarding.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -9,7 +9,7 @@
 import trio
 
 from wharftiller.core.errors import ExchangeError
-from wharftiller.core.sessions.come_back import Cause
+from wharftiller.core.sessions.retry_after import Cause
 from wharftiller.core.sessions.session import RemoteTransaction
 from wharftiller.core.sessions.statements import Commit, RefusalKind, Reply, SessionState
 from wharftiller.daemons.sessions.serving.routed import (
@@ -26,8 +26,8 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import OpenTransaction, Session
     from wharftiller.core.sessions.statements import Statement
-    from wharftiller.daemons.sessions.homes.home_links import HomeLinks
-    from wharftiller.daemons.sessions.homes.homes import Homes
+    from wharftiller.daemons.sessions.forwarding.gateway_client import HomeLinks
+    from wharftiller.daemons.sessions.forwarding.gateways import Homes
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.serving.routed import RoutedStatement
--- a/wharftiller/daemons/sessions/homes/home_links.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from wharftiller.daemons.sessions.homes.homes import Homes
+    from wharftiller.daemons.sessions.forwarding.gateways import Homes
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
--- a/wharftiller/daemons/sessions/homes/homes.py
+++ b/wharftiller/daemons/sessions/forwarding/gateways.py
@@ -9,7 +9,7 @@
 import trio
 
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.homes import HomePlan, homes_of, plan_homes
+from wharftiller.core.sessions.gateways import HomePlan, homes_of, plan_homes
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
--- a/wharftiller/daemons/sessions/gauges.py
+++ b/wharftiller/daemons/sessions/gauges.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterator
 
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.serving.door import CallerDoor
+    from wharftiller.daemons.sessions.serving.connection_admission import CallerDoor
     from wharftiller.daemons.sessions.state import SharedState
 
 
--- a/wharftiller/daemons/sessions/leadership/mover.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -9,7 +9,7 @@
 import trio
 
 from wharftiller.core.errors import PlatformUnavailableError
-from wharftiller.core.leadership.moves import (
+from wharftiller.core.leadership.failover import (
     TAKE_OVER_ORDERED_S,
     TAKE_OVER_S,
     TAKE_OVER_SILENT_S,
@@ -21,13 +21,13 @@
 from wharftiller.core.leadership.record import Leading, Moving
 
 if TYPE_CHECKING:
-    from wharftiller.core.leadership.moves import Candidate
+    from wharftiller.core.leadership.failover import Candidate
     from wharftiller.core.leadership.record import LeadershipRecord
-    from wharftiller.daemons.sessions.homes.homes import Homes
-    from wharftiller.daemons.sessions.leadership.changes import ChangeRunner
-    from wharftiller.daemons.sessions.leadership.doubts import DoubtedPrimaries
+    from wharftiller.daemons.sessions.forwarding.gateways import Homes
+    from wharftiller.daemons.sessions.leadership.failover_runner import ChangeRunner
     from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
     from wharftiller.daemons.sessions.leadership.successors import Successors
+    from wharftiller.daemons.sessions.leadership.verification import DoubtedPrimaries
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
--- a/wharftiller/daemons/sessions/leadership/changes.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.core.errors import PlatformUnavailableError
-from wharftiller.core.leadership.moves import SEND_WINDOW_S
+from wharftiller.core.leadership.failover import SEND_WINDOW_S
 from wharftiller.core.leadership.record import Leading, Moving
 
 if TYPE_CHECKING:
@@ -17,12 +17,12 @@
     from wharftiller.core.leadership.record import LeadershipRecord
     from wharftiller.core.sessions.endpoints import EndpointRow
     from wharftiller.daemons.sessions.connections.probes import Prober
-    from wharftiller.daemons.sessions.homes.homes import Homes
+    from wharftiller.daemons.sessions.forwarding.gateways import Homes
+    from wharftiller.daemons.sessions.interfaces import Promotions
+    from wharftiller.daemons.sessions.leadership.lease_revocation import BoxStopper
     from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
-    from wharftiller.daemons.sessions.leadership.stopping import BoxStopper
     from wharftiller.daemons.sessions.leadership.successors import Successors
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.seams import Promotions
     from wharftiller.daemons.sessions.state import SharedState
 
 ASK_AGAIN_S = 0.2
--- a/wharftiller/daemons/sessions/leadership/stopping.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -11,12 +11,12 @@
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.record import LeadershipRecord
+    from wharftiller.daemons.sessions.interfaces import SharedObjects
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.box_server import BoxServer
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.death_marks import DeathMarks
-    from wharftiller.daemons.sessions.membership.listings import Listings
-    from wharftiller.daemons.sessions.seams import SharedObjects
+    from wharftiller.daemons.sessions.membership.snapshots import Listings
+    from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
     from wharftiller.daemons.sessions.state import SharedState
 
 WORDS_AGAIN_S = 0.2
--- a/wharftiller/daemons/sessions/leadership/record_writer.py
+++ b/wharftiller/daemons/sessions/leadership/record_writer.py
@@ -9,11 +9,11 @@
 import attrs
 import trio
 
-from wharftiller.core.leadership.moves import SEND_WINDOW_S
+from wharftiller.core.leadership.failover import SEND_WINDOW_S
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.record import LeadershipRecord
-    from wharftiller.daemons.sessions.seams import SharedObjects
+    from wharftiller.daemons.sessions.interfaces import SharedObjects
     from wharftiller.daemons.sessions.state import SharedState
 
 
--- a/wharftiller/daemons/sessions/leadership/successors.py
+++ b/wharftiller/daemons/sessions/leadership/successors.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.core.errors import EndpointRefusedError, ExchangeError
-from wharftiller.core.leadership.moves import Candidate, best_candidate
+from wharftiller.core.leadership.failover import Candidate, best_candidate
 from wharftiller.core.leadership.record import Leading, Moving
 
 if TYPE_CHECKING:
--- a/wharftiller/daemons/sessions/leadership/doubts.py
+++ b/wharftiller/daemons/sessions/leadership/verification.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from wharftiller.core.leadership.doubts import ORDERS_EFFECT_S, DoubtEvidence, whom_to_promote
+from wharftiller.core.leadership.verification import ORDERS_EFFECT_S, DoubtEvidence, whom_to_promote
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.record import LeadershipRecord, Leading
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -7,7 +7,7 @@
 import trio
 
 from wharftiller.core.errors import BadRequestError, UnknownPathError
-from wharftiller.daemons.sessions.allowances.keeper_links import LOAN_PATH, TOKENS_PATH
+from wharftiller.daemons.sessions.allowances.token_client import LOAN_PATH, TOKENS_PATH
 from wharftiller.daemons.sessions.membership.boxes import HEARD_RECENT_S
 from wharftiller.edges.http_server import HttpRequest, HttpResponse
 from wharftiller.edges.leadership_json import record_from_json, record_to_json
@@ -18,12 +18,12 @@
     Answer = Callable[[Any], Awaitable[dict[str, Any]]]
 
     from wharftiller.core.leadership.record import LeadershipRecord
-    from wharftiller.daemons.sessions.allowances.keeper_desk import KeeperDesk
-    from wharftiller.daemons.sessions.homes.forwarded import ForwardedDesk
-    from wharftiller.daemons.sessions.homes.home_links import HomeLinks
+    from wharftiller.daemons.sessions.allowances.token_server import KeeperDesk
+    from wharftiller.daemons.sessions.forwarding.executor import ForwardedDesk
+    from wharftiller.daemons.sessions.forwarding.gateway_client import HomeLinks
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.death_marks import DeathMarks
     from wharftiller.daemons.sessions.membership.readers import ReaderDesk
+    from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
     from wharftiller.daemons.sessions.state import SharedState
 
 QUIET_WAIT_S = 1.0
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -14,11 +14,11 @@
 import trio
 
 from wharftiller.core.errors import BadRequestError, ExchangeError
+from wharftiller.core.leadership.failover import turn_of
 from wharftiller.core.leadership.lease import RoundAnswer
-from wharftiller.core.leadership.moves import turn_of
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.knowledge import Knowledge
-from wharftiller.core.sessions.signs_of_life import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import SignOfLife
+from wharftiller.core.sessions.state_versions import Knowledge
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.box_list import BoxList
 from wharftiller.edges.http_client import HttpClient, NoAnswerInTimeError
--- a/wharftiller/daemons/sessions/membership/lease_rounds.py
+++ b/wharftiller/daemons/sessions/membership/lease_renewal.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.neighbours import Neighbours
+    from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
     from wharftiller.daemons.sessions.membership.readers import ReaderClient
     from wharftiller.daemons.sessions.state import SharedState
 
--- a/wharftiller/daemons/sessions/membership/neighbours.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -9,8 +9,8 @@
 import trio
 
 from wharftiller.core.errors import BadRequestError, ConfigurationError
-from wharftiller.core.sessions.knowledge import Knowledge
 from wharftiller.core.sessions.routes import EndpointEntry
+from wharftiller.core.sessions.state_versions import Knowledge
 from wharftiller.daemons.sessions.membership.box import Box
 
 if TYPE_CHECKING:
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -16,10 +16,10 @@
 
 from wharftiller.core.errors import BadRequestError, ExchangeError
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.knowledge import Knowledge
+from wharftiller.core.sessions.state_versions import Knowledge
+from wharftiller.daemons.sessions.interfaces import SharedListing
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.boxes import ROUND_TIMEOUT_S
-from wharftiller.daemons.sessions.seams import SharedListing
 from wharftiller.edges.leadership_json import record_from_json, record_to_json
 
 if TYPE_CHECKING:
--- a/wharftiller/daemons/sessions/membership/retirement.py
+++ b/wharftiller/daemons/sessions/membership/retirement.py
@@ -18,10 +18,10 @@
 if TYPE_CHECKING:
     import trio
 
+    from wharftiller.daemons.sessions.interfaces import SharedObjects
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
-    from wharftiller.daemons.sessions.seams import SharedObjects
     from wharftiller.daemons.sessions.state import SharedState
 
 SILENT_S = 5.0
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -7,17 +7,17 @@
 import trio
 
 from wharftiller.core.errors import PlatformUnavailableError
-from wharftiller.core.leadership.reading import ReadingView, ReadPace, read_is_due
+from wharftiller.core.leadership.read_schedule import ReadingView, ReadPace, read_is_due
 
 if TYPE_CHECKING:
+    from wharftiller.daemons.sessions.interfaces import Feeds, SharedListing, SharedObjects
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.lease_rounds import LeaseRounds
-    from wharftiller.daemons.sessions.membership.listings import Listings
-    from wharftiller.daemons.sessions.membership.neighbours import Neighbours
+    from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRounds
+    from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
     from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
     from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
-    from wharftiller.daemons.sessions.seams import Feeds, SharedListing, SharedObjects
+    from wharftiller.daemons.sessions.membership.snapshots import Listings
     from wharftiller.daemons.sessions.state import SharedState
 
 REGISTERED_S = 0.6
--- a/wharftiller/daemons/sessions/membership/listings.py
+++ b/wharftiller/daemons/sessions/membership/snapshots.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from wharftiller.daemons.sessions.interfaces import SharedListing
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.death_marks import DeathMarks
-    from wharftiller.daemons.sessions.seams import SharedListing
+    from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
     from wharftiller.daemons.sessions.state import SharedState
 
 
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -9,37 +9,37 @@
 import trio
 
 from wharftiller.core.errors import PlatformUnavailableError, UnknownPathError
-from wharftiller.core.leadership.reading import ReadPace
-from wharftiller.daemons.sessions.allowances.gate import AllowanceGate
-from wharftiller.daemons.sessions.allowances.keeper_desk import KeeperDesk
-from wharftiller.daemons.sessions.allowances.keeper_links import KeeperLinks
+from wharftiller.core.leadership.read_schedule import ReadPace
+from wharftiller.daemons.sessions.allowances.rate_limiter import AllowanceGate
+from wharftiller.daemons.sessions.allowances.token_client import KeeperLinks
+from wharftiller.daemons.sessions.allowances.token_server import KeeperDesk
 from wharftiller.daemons.sessions.connections.pool import MAINTENANCE_S
 from wharftiller.daemons.sessions.connections.probes import Prober
 from wharftiller.daemons.sessions.connections.relay import RelayServer
+from wharftiller.daemons.sessions.forwarding.executor import ForwardedDesk
+from wharftiller.daemons.sessions.forwarding.forwarder import Forwarder
+from wharftiller.daemons.sessions.forwarding.gateway_client import HomeLinks
+from wharftiller.daemons.sessions.forwarding.gateways import Homes
 from wharftiller.daemons.sessions.gauges import believed
-from wharftiller.daemons.sessions.homes.forwarded import ForwardedDesk
-from wharftiller.daemons.sessions.homes.forwarding import Forwarder
-from wharftiller.daemons.sessions.homes.home_links import HomeLinks
-from wharftiller.daemons.sessions.homes.homes import Homes
-from wharftiller.daemons.sessions.leadership.changes import ChangeRunner
-from wharftiller.daemons.sessions.leadership.doubts import DoubtedPrimaries
-from wharftiller.daemons.sessions.leadership.mover import PrimaryMover
+from wharftiller.daemons.sessions.leadership.failover_monitor import PrimaryMover
+from wharftiller.daemons.sessions.leadership.failover_runner import ChangeRunner
+from wharftiller.daemons.sessions.leadership.lease_revocation import BoxStopper
 from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
-from wharftiller.daemons.sessions.leadership.stopping import BoxStopper
 from wharftiller.daemons.sessions.leadership.successors import Successors
+from wharftiller.daemons.sessions.leadership.verification import DoubtedPrimaries
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.box_server import BoxServer
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-from wharftiller.daemons.sessions.membership.death_marks import DeathMarks
 from wharftiller.daemons.sessions.membership.isolation import IsolationWatch
-from wharftiller.daemons.sessions.membership.lease_rounds import LeaseRounds
-from wharftiller.daemons.sessions.membership.listings import Listings
-from wharftiller.daemons.sessions.membership.neighbours import Neighbours
+from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRounds
+from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
 from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
 from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
 from wharftiller.daemons.sessions.membership.shared_reads import SharedReads
+from wharftiller.daemons.sessions.membership.snapshots import Listings
+from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
 from wharftiller.daemons.sessions.serving.callers import SessionServer
-from wharftiller.daemons.sessions.serving.door import CallerDoor
+from wharftiller.daemons.sessions.serving.connection_admission import CallerDoor
 from wharftiller.daemons.sessions.serving.drain import LAST_MOMENT_S, Drain
 from wharftiller.daemons.sessions.serving.statements import StatementRunner
 from wharftiller.daemons.sessions.state import SharedState
@@ -50,9 +50,9 @@
     from collections.abc import Callable
 
     from wharftiller.core.sessions.bounds import PlatformBounds
-    from wharftiller.core.sessions.doors import BoxLimits
+    from wharftiller.core.sessions.connection_limits import BoxLimits
     from wharftiller.core.sessions.routes import SessionConfiguration
-    from wharftiller.daemons.sessions.seams import (
+    from wharftiller.daemons.sessions.interfaces import (
         EndpointDialer,
         Feeds,
         Promotions,
--- a/wharftiller/daemons/sessions/serving/notes.py
+++ b/wharftiller/daemons/sessions/serving/answer_log.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from wharftiller.core.sessions.figures import AnswerLabels
+from wharftiller.core.sessions.metrics import AnswerLabels
 from wharftiller.core.sessions.statements import Direct, Execute
 from wharftiller.decisions import SLOW_S
 
--- a/wharftiller/daemons/sessions/serving/singles.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -8,10 +8,10 @@
 import trio
 
 from wharftiller.core.errors import ExchangeError
-from wharftiller.core.sessions.come_back import Cause
+from wharftiller.core.sessions.retry_after import Cause
 from wharftiller.core.sessions.statements import RefusalKind, Reply, SessionState
+from wharftiller.daemons.sessions.serving.answer_log import note_passed_over
 from wharftiller.daemons.sessions.serving.confirmation import confirm_write
-from wharftiller.daemons.sessions.serving.notes import note_passed_over
 from wharftiller.daemons.sessions.serving.routed import (
     BUSY_PAUSE_S,
     BUSY_TRIES,
@@ -30,10 +30,10 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import Session
     from wharftiller.core.sessions.statements import Statement
-    from wharftiller.daemons.sessions.allowances.gate import Admission, AllowanceGate
+    from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, AllowanceGate
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
-    from wharftiller.daemons.sessions.serving.choice import EndpointChooser
-    from wharftiller.daemons.sessions.serving.patience import ReadPatience
+    from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
+    from wharftiller.daemons.sessions.serving.read_timeouts import ReadPatience
     from wharftiller.daemons.sessions.serving.routed import RoutedStatement
     from wharftiller.daemons.sessions.state import SharedState
 
--- a/wharftiller/daemons/sessions/serving/callers.py
+++ b/wharftiller/daemons/sessions/serving/callers.py
@@ -13,7 +13,7 @@
     from collections.abc import Collection
 
     from wharftiller.core.sessions.statements import Reply, Statement
-    from wharftiller.daemons.sessions.serving.door import CallerDoor, Guest
+    from wharftiller.daemons.sessions.serving.connection_admission import CallerDoor, Guest
     from wharftiller.daemons.sessions.serving.statements import StatementRunner
     from wharftiller.daemons.sessions.state import SharedState
 
--- a/wharftiller/daemons/sessions/serving/door.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -7,13 +7,13 @@
 import attrs
 import trio
 
-from wharftiller.core.sessions.come_back import LEAST_S
-from wharftiller.core.sessions.doors import Door
+from wharftiller.core.sessions.connection_limits import Door
+from wharftiller.core.sessions.retry_after import LEAST_S
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from wharftiller.core.sessions.doors import BoxLimits
+    from wharftiller.core.sessions.connection_limits import BoxLimits
     from wharftiller.daemons.sessions.state import SharedState
 
 TOLD_S = 1.0
--- a/wharftiller/daemons/sessions/serving/drain.py
+++ b/wharftiller/daemons/sessions/serving/drain.py
@@ -9,7 +9,7 @@
 from wharftiller.core.sessions.isolation import BALANCER_SEES_S
 
 if TYPE_CHECKING:
-    from wharftiller.daemons.sessions.homes.forwarded import ForwardedDesk
+    from wharftiller.daemons.sessions.forwarding.executor import ForwardedDesk
     from wharftiller.daemons.sessions.serving.callers import SessionServer
 
 LAST_MOMENT_S = 0.5
--- a/wharftiller/daemons/sessions/serving/choice.py
+++ b/wharftiller/daemons/sessions/serving/endpoint_selection.py
@@ -7,7 +7,7 @@
 import trio
 
 from wharftiller.core.errors import EndpointRefusedError, ExchangeError
-from wharftiller.core.sessions.come_back import (
+from wharftiller.core.sessions.retry_after import (
     SOON_S,
     Cause,
     back_after_queue_s,
@@ -15,7 +15,7 @@
 )
 from wharftiller.core.sessions.routing import AnyReplica, need_of_read, replica_order
 from wharftiller.core.sessions.statements import RefusalKind
-from wharftiller.core.sessions.waiting import wait_limit
+from wharftiller.core.sessions.wait_limits import wait_limit
 from wharftiller.daemons.sessions.serving.routed import NoPlaceError, StatementRefusedError
 
 if TYPE_CHECKING:
--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from wharftiller.core.sessions.come_back import SOON_S, told_s
+from wharftiller.core.sessions.retry_after import SOON_S, told_s
 from wharftiller.core.sessions.statements import (
     Access,
     Commit,
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from wharftiller.core.positions import LogPosition
-    from wharftiller.core.sessions.come_back import Cause
+    from wharftiller.core.sessions.retry_after import Cause
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import Session
     from wharftiller.core.sessions.statements import SessionState
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -18,18 +18,18 @@
     refused,
 )
 from wharftiller.core.sessions.workspaces import Anyone, Member, UnknownKey, identify
-from wharftiller.daemons.sessions.serving.choice import EndpointChooser
-from wharftiller.daemons.sessions.serving.notes import note_answer, note_run_for_box
-from wharftiller.daemons.sessions.serving.patience import ReadPatience
-from wharftiller.daemons.sessions.serving.singles import SingleRunner
+from wharftiller.daemons.sessions.serving.answer_log import note_answer, note_run_for_box
+from wharftiller.daemons.sessions.serving.autocommit import SingleRunner
+from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
+from wharftiller.daemons.sessions.serving.read_timeouts import ReadPatience
 from wharftiller.daemons.sessions.serving.transactions import TransactionRunner
 
 if TYPE_CHECKING:
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import OpenTransaction, Session
     from wharftiller.core.sessions.statements import Statement
-    from wharftiller.daemons.sessions.allowances.gate import AllowanceGate
-    from wharftiller.daemons.sessions.homes.forwarding import Forwarder
+    from wharftiller.daemons.sessions.allowances.rate_limiter import AllowanceGate
+    from wharftiller.daemons.sessions.forwarding.forwarder import Forwarder
     from wharftiller.daemons.sessions.state import SharedState
 
 
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.core.errors import ExchangeError
-from wharftiller.core.sessions.come_back import Cause
+from wharftiller.core.sessions.retry_after import Cause
 from wharftiller.core.sessions.session import OpenTransaction
 from wharftiller.core.sessions.statements import (
     Begin,
@@ -32,9 +32,9 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import Session
     from wharftiller.core.sessions.statements import Statement
-    from wharftiller.daemons.sessions.allowances.gate import Admission, AllowanceGate
+    from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, AllowanceGate
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
-    from wharftiller.daemons.sessions.serving.choice import EndpointChooser
+    from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
     from wharftiller.daemons.sessions.serving.routed import RoutedStatement
     from wharftiller.daemons.sessions.state import SharedState
 
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -9,14 +9,14 @@
 
 from wharftiller.core.leadership.lease import LEASE_S, LeaseTable
 from wharftiller.core.leadership.record import Leading, Moving
-from wharftiller.core.sessions.come_back import PrimaryOutlook
-from wharftiller.core.sessions.figures import Figures
-from wharftiller.core.sessions.knowledge import Knowledge
+from wharftiller.core.sessions.metrics import Figures
+from wharftiller.core.sessions.retry_after import PrimaryOutlook
 from wharftiller.core.sessions.routes import SessionConfiguration
+from wharftiller.core.sessions.state_versions import Knowledge
 from wharftiller.core.sessions.statements import EndpointQuery, RefusalKind, Rollback
 from wharftiller.daemons.sessions.endpoint_table import EndpointTable
+from wharftiller.daemons.sessions.in_flight import WorkUnderWay
 from wharftiller.daemons.sessions.primary_positions import PrimaryPositions
-from wharftiller.daemons.sessions.work_under_way import WorkUnderWay
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,7 +25,7 @@
     from wharftiller.core.sessions.endpoints import EndpointRow
     from wharftiller.core.sessions.statements import Refusal
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
-    from wharftiller.daemons.sessions.seams import EndpointDialer
+    from wharftiller.daemons.sessions.interfaces import EndpointDialer
     from wharftiller.decisions import DecisionLog
 
 ROLL_BACK_TIMEOUT_S = 1.0
--- a/wharftiller/daemons/steward.py
+++ b/wharftiller/daemons/steward.py
@@ -34,7 +34,7 @@
     StewardOutput,
     UpdateRecord,
 )
-from wharftiller.daemons.spreader import Spreader
+from wharftiller.daemons.configuration_distributor import Spreader
 from wharftiller.edges.codec import from_peer, to_json
 from wharftiller.edges.http_client import HttpClient
 from wharftiller.edges.http_server import HttpRequest, HttpResponse, serve_stream
--- a/wharftiller/edges/forwarded_json.py
+++ b/wharftiller/edges/forwarded_json.py
@@ -11,7 +11,7 @@
 
 from wharftiller.core.errors import BadRequestError
 from wharftiller.core.positions import LogPosition
-from wharftiller.core.sessions.come_back import Cause
+from wharftiller.core.sessions.retry_after import Cause
 from wharftiller.core.sessions.routes import (
     BoundedReads,
     Consistency,
--- a/wharftiller/edges/metrics_page.py
+++ b/wharftiller/edges/metrics_page.py
@@ -13,7 +13,7 @@
 
     from prometheus_client.metrics_core import Metric
 
-    from wharftiller.core.sessions.figures import Figures
+    from wharftiller.core.sessions.metrics import Figures
 
 PREFIX = "wharftiller"
 
--- a/wharftiller/edges/peers.py
+++ b/wharftiller/edges/peers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from wharftiller.core.spreading import ConfigurationChange
+from wharftiller.core.configuration_changes import ConfigurationChange
 from wharftiller.edges.codec import from_peer, to_json
 from wharftiller.edges.http_client import HttpClient
 from wharftiller.edges.http_server import HttpRequest, HttpResponse
--- a/wharftiller/platform/__main__.py
+++ b/wharftiller/platform/__main__.py
@@ -16,12 +16,12 @@
 from wharftiller.edges.http_server import HttpHandler, HttpRequest, HttpResponse, serve_stream
 from wharftiller.edges.transport import CountedTransport, TcpTransport
 from wharftiller.platform.callers import CallerServer
-from wharftiller.platform.duties import PlatformPromotions
 from wharftiller.platform.endpoints import LineDialer
-from wharftiller.platform.feeds import PlatformFeeds
 from wharftiller.platform.objects import SharedPlatformObjects, decode_configuration
+from wharftiller.platform.promotions import PlatformPromotions
 from wharftiller.platform.settings import ProcessSettings, load_settings
 from wharftiller.platform.store import ObjectStore
+from wharftiller.platform.watches import PlatformFeeds
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
--- a/wharftiller/platform/callers.py
+++ b/wharftiller/platform/callers.py
@@ -27,7 +27,7 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.statements import Reply
     from wharftiller.daemons.sessions.proxy import SessionProxy
-    from wharftiller.daemons.sessions.serving.door import Guest
+    from wharftiller.daemons.sessions.serving.connection_admission import Guest
 
 GREETING_TIMEOUT_S = 5.0
 """Time a caller may take to name its database, in seconds."""
--- a/wharftiller/platform/objects.py
+++ b/wharftiller/platform/objects.py
@@ -29,8 +29,8 @@
     WorkspaceDirectory,
     digest_of_key,
 )
+from wharftiller.daemons.sessions.interfaces import SharedListing
 from wharftiller.daemons.sessions.membership.box import Box
-from wharftiller.daemons.sessions.seams import SharedListing
 from wharftiller.edges.leadership_json import record_from_json, record_to_json
 from wharftiller.edges.transport import split_address
 from wharftiller.platform.store import era_of
--- a/wharftiller/platform/settings.py
+++ b/wharftiller/platform/settings.py
@@ -12,7 +12,7 @@
 from wharftiller.core.errors import WharfError
 from wharftiller.core.sessions.allowances import AllowanceBounds
 from wharftiller.core.sessions.bounds import PlatformBounds
-from wharftiller.core.sessions.doors import BoxLimits
+from wharftiller.core.sessions.connection_limits import BoxLimits
 
 METRICS_PORT = 9464
 """Port of the page of metrics; deploy/system.toml names it to the platform."""
--- a/wharftiller/platform/feeds.py
+++ b/wharftiller/platform/watches.py
@@ -20,7 +20,7 @@
 
     from wharftiller.core.sessions.bounds import PlatformBounds
     from wharftiller.core.sessions.routes import SessionConfiguration
-    from wharftiller.daemons.sessions.seams import SharedListing
+    from wharftiller.daemons.sessions.interfaces import SharedListing
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.decisions import DecisionLog
     from wharftiller.edges.http_client import HttpClient
--- a/wharftiller/run_losses.py
+++ b/wharftiller/run_losses.py
@@ -7,13 +7,13 @@
 
 import attrs
 
-from wharftiller.core.leadership.moves import UNREACHABLE_S
-from wharftiller.core.sessions.come_back import Cause
+from wharftiller.core.leadership.failover import UNREACHABLE_S
+from wharftiller.core.sessions.retry_after import Cause
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wharftiller.decision_story import LoggedEvent
+    from wharftiller.request_timeline import LoggedEvent
 
 SLICE_S = 2.0
 """Time that one row stands for, in seconds."""
--- a/wharftiller/run_report.py
+++ b/wharftiller/run_report.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wharftiller.decision_story import LoggedEvent
+    from wharftiller.request_timeline import LoggedEvent
 
 
 @attrs.frozen
--- a/wharftiller/tests/core/leadership/histories.py
+++ b/wharftiller/tests/core/leadership/histories.py
@@ -16,10 +16,10 @@
 
 import attrs
 
-from wharftiller.core.leadership.doubts import DoubtEvidence, whom_to_promote
+from wharftiller.core.leadership.failover import TAKE_OVER_S
 from wharftiller.core.leadership.lease import LEASE_S, LISTING_S, RoundAnswer, holds_no_lease
-from wharftiller.core.leadership.moves import TAKE_OVER_S
 from wharftiller.core.leadership.record import LeadershipRecord, Leading, Moving
+from wharftiller.core.leadership.verification import DoubtEvidence, whom_to_promote
 from wharftiller.tests.core.leadership.model_endpoints import ModelEndpoints
 from wharftiller.tests.core.leadership.model_platform import ModelPlatform
 from wharftiller.tests.core.leadership.weak_table import Rules, WeakTable
--- a/wharftiller/tests/core/leadership/test_reading.py
+++ b/wharftiller/tests/core/leadership/test_read_schedule.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from wharftiller.core.leadership.reading import (
+from wharftiller.core.leadership.read_schedule import (
     AWAY_READ_S,
     MISSING_LEASE_READ_S,
     READER_READS_S,
--- a/wharftiller/tests/core/leadership/test_doubts.py
+++ b/wharftiller/tests/core/leadership/test_verification.py
@@ -5,12 +5,12 @@
 import attrs
 import pytest
 
-from wharftiller.core.leadership.doubts import (
+from wharftiller.core.leadership.record import Leading
+from wharftiller.core.leadership.verification import (
     ORDERS_EFFECT_S,
     DoubtEvidence,
     whom_to_promote,
 )
-from wharftiller.core.leadership.record import Leading
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.sessions.statements import EndpointStatus
 
--- a/wharftiller/tests/core/sessions/allowances/histories.py
+++ b/wharftiller/tests/core/sessions/allowances/histories.py
@@ -23,7 +23,7 @@
 )
 from wharftiller.core.sessions.allowances.buckets import HELD_S
 from wharftiller.core.sessions.allowances.shares import LoanQuestion
-from wharftiller.core.sessions.signs_of_life import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import SignOfLife
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
 
 BOXES = 6
--- a/wharftiller/tests/core/sessions/allowances/test_keepers.py
+++ b/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
@@ -20,9 +20,13 @@
     own_share,
 )
 from wharftiller.core.sessions.allowances.buckets import MOST_AHEAD_S, TokenBucket
-from wharftiller.core.sessions.allowances.keepers import FIRST_TOKENS, SILENCE_S, STAND_IN_PART
 from wharftiller.core.sessions.allowances.shares import AllowanceShare, Loan
-from wharftiller.core.sessions.signs_of_life import SignOfLife
+from wharftiller.core.sessions.allowances.token_allocator import (
+    FIRST_TOKENS,
+    SILENCE_S,
+    STAND_IN_PART,
+)
+from wharftiller.core.sessions.probe_outcomes import SignOfLife
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
 from wharftiller.tests.core.sessions.allowances.histories import (
     CENTRES,
--- a/wharftiller/tests/core/sessions/test_doors.py
+++ b/wharftiller/tests/core/sessions/test_connection_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wharftiller.core.sessions.doors import (
+from wharftiller.core.sessions.connection_limits import (
     CALLERS_FLOOR,
     GREETING_LEAST_S,
     GROWTH_MOST,
--- a/wharftiller/tests/core/sessions/test_homes.py
+++ b/wharftiller/tests/core/sessions/test_gateways.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wharftiller.core.sessions.homes import LEAST_SHARE, homes_of, plan_homes
+from wharftiller.core.sessions.gateways import LEAST_SHARE, homes_of, plan_homes
 from wharftiller.core.sessions.shares import KEPT_PART, connection_share, most_connections
 
 
--- a/wharftiller/tests/core/sessions/test_come_back.py
+++ b/wharftiller/tests/core/sessions/test_retry_after.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from wharftiller.core.leadership.doubts import ORDERS_EFFECT_S
+from wharftiller.core.leadership.failover import UNREACHABLE_S
 from wharftiller.core.leadership.lease import LEASE_S, UNSETTLED_S
-from wharftiller.core.leadership.moves import UNREACHABLE_S
-from wharftiller.core.sessions.come_back import (
+from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
+from wharftiller.core.sessions.retry_after import (
     LEAST_S,
     MOST_S,
     SPREAD,
--- a/wharftiller/tests/core/sessions/test_knowledge.py
+++ b/wharftiller/tests/core/sessions/test_state_versions.py
@@ -5,8 +5,8 @@
 import attrs
 import pytest
 
-from wharftiller.core.sessions.knowledge import Knowledge, digest_of
 from wharftiller.core.sessions.routes import EndpointEntry
+from wharftiller.core.sessions.state_versions import Knowledge, digest_of
 
 MINE = Knowledge(version=3, endpoints_revision=10, endpoints_digest=7)
 ENTRIES = [
--- a/wharftiller/tests/core/sessions/test_waiting.py
+++ b/wharftiller/tests/core/sessions/test_wait_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wharftiller.core.sessions.waiting import LATE_PART, QUEUED_PART, wait_limit
+from wharftiller.core.sessions.wait_limits import LATE_PART, QUEUED_PART, wait_limit
 
 GOAL_S = 0.4
 
--- a/wharftiller/tests/core/test_acknowledgement.py
+++ b/wharftiller/tests/core/test_acknowledgement.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wharftiller.core.covering import covers
 from wharftiller.core.messages import Report
 from wharftiller.core.positions import LogPosition
+from wharftiller.core.replication import covers
 from wharftiller.tests.fakes.histories import (
     History,
     Op,
--- a/wharftiller/tests/core/test_spreading.py
+++ b/wharftiller/tests/core/test_configuration_changes.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from wharftiller.core.configuration import Configuration, PoolSpec, QueueRule
-from wharftiller.core.spreading import ConfigurationHolder, relays
+from wharftiller.core.configuration_changes import ConfigurationHolder, relays
 
 
 def configuration(generation: int, pools: dict[str, int]) -> Configuration:
--- a/wharftiller/tests/daemons/sessions/allowances/test_gate.py
+++ b/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
@@ -11,9 +11,9 @@
 import trio.testing
 
 from wharftiller.core.sessions.allowances import Grant
-from wharftiller.core.sessions.figures import Figures
+from wharftiller.core.sessions.metrics import Figures
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
-from wharftiller.daemons.sessions.allowances.gate import USED_WITHIN_S, AllowanceGate
+from wharftiller.daemons.sessions.allowances.rate_limiter import USED_WITHIN_S, AllowanceGate
 from wharftiller.daemons.sessions.serving.routed import NoTokenError
 
 RILA = Workspace("rila", Allowance(10.0, 10.0))
--- a/wharftiller/tests/daemons/sessions/connections/test_pool.py
+++ b/wharftiller/tests/daemons/sessions/connections/test_pool.py
@@ -27,7 +27,7 @@
     SessionState,
     SetValue,
 )
-from wharftiller.core.sessions.waiting import WaitLimit
+from wharftiller.core.sessions.wait_limits import WaitLimit
 from wharftiller.core.sessions.workspaces import Workspace
 from wharftiller.daemons.sessions.connections.pool import (
     EXTRA_CONNECTIONS,
--- a/wharftiller/tests/daemons/sessions/test_reader_desk.py
+++ b/wharftiller/tests/daemons/sessions/test_snapshot_server.py
@@ -9,10 +9,10 @@
 import trio
 
 from wharftiller.core.leadership.record import LeadershipRecord
+from wharftiller.daemons.sessions.interfaces import SharedListing
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.daemons.sessions.membership.readers import LISTS_KEPT, ReaderClient, ReaderDesk
-from wharftiller.daemons.sessions.seams import SharedListing
 from wharftiller.daemons.sessions.state import SharedState
 from wharftiller.decisions import DecisionLog
 
--- a/wharftiller/tests/daemons/test_story.py
+++ b/wharftiller/tests/daemons/test_demo.py
@@ -11,7 +11,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[3] / "scripts"))
 
-from story import Story  # type: ignore[import-not-found]
+from demo import Story  # type: ignore[import-not-found]
 
 
 class TestPrimaryOf:
--- a/wharftiller/tests/daemons/test_real_processes.py
+++ b/wharftiller/tests/daemons/test_real_processes.py
@@ -21,7 +21,7 @@
 ROOT = Path(__file__).parents[3]
 sys.path.insert(0, str(ROOT / "scripts"))
 
-from story import KEYS, POOL, Story  # type: ignore[import-not-found]  # noqa: E402
+from demo import KEYS, POOL, Story  # type: ignore[import-not-found]  # noqa: E402
 
 DONE_WITHIN_S = 90.0
 """Time within which a booking is done on a machine of any load, in seconds."""
--- a/wharftiller/tests/platform/test_allowances.py
+++ b/wharftiller/tests/platform/test_allowances.py
@@ -13,8 +13,8 @@
 from wharftiller.core.sessions.allowances import AllowanceBounds, keeper_order
 from wharftiller.core.sessions.bounds import PlatformBounds
 from wharftiller.core.sessions.workspaces import Allowance
-from wharftiller.daemons.sessions.allowances import gate
-from wharftiller.daemons.sessions.allowances.keeper_desk import LENDER_SILENT_S
+from wharftiller.daemons.sessions.allowances import rate_limiter
+from wharftiller.daemons.sessions.allowances.token_server import LENDER_SILENT_S
 from wharftiller.edges.http_client import HttpClient
 from wharftiller.tests.platform.world import (
     BoxProcess,
@@ -209,7 +209,7 @@
 
 class TestNoKeeper:
     def test_a_box_that_no_keeper_answers_says_so(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(gate, "KEEPERS_ASKED", 1)
+        monkeypatch.setattr(rate_limiter, "KEEPERS_ASKED", 1)
 
         async def story(world: World) -> None:
             keeper, box, _ = (world.boxes[n] for n in keeper_order("calm", DATA_CENTRE_A))
--- a/wharftiller/tests/platform/test_bad_input.py
+++ b/wharftiller/tests/platform/test_bad_input.py
@@ -19,7 +19,7 @@
 )
 from wharftiller.core.sessions.allowances import AllowanceBounds
 from wharftiller.core.sessions.bounds import PlatformBounds
-from wharftiller.core.sessions.doors import BoxLimits, TooFewDescriptorsError
+from wharftiller.core.sessions.connection_limits import BoxLimits, TooFewDescriptorsError
 from wharftiller.core.sessions.routes import EndpointEntry
 from wharftiller.edges.leadership_json import record_from_json
 from wharftiller.edges.transport import TcpTransport
--- a/wharftiller/tests/platform/test_doors.py
+++ b/wharftiller/tests/platform/test_connection_admission.py
@@ -5,8 +5,8 @@
 import pytest
 import trio
 
-from wharftiller.core.sessions.doors import GREETING_LEAST_S, REST_LEAST_S, BoxLimits
-from wharftiller.decision_story import read_events
+from wharftiller.core.sessions.connection_limits import GREETING_LEAST_S, REST_LEAST_S, BoxLimits
+from wharftiller.request_timeline import read_events
 from wharftiller.run_losses import losses_of
 from wharftiller.tests.platform.world import BoxProcess, Caller, World, run_in_world
 
--- a/wharftiller/tests/platform/test_changes_of_primary.py
+++ b/wharftiller/tests/platform/test_failovers.py
@@ -5,8 +5,8 @@
 import trio
 
 from standins.object_store import Mood
+from wharftiller.core.leadership.failover import UNREACHABLE_S
 from wharftiller.core.leadership.lease import LEASE_S
-from wharftiller.core.leadership.moves import UNREACHABLE_S
 from wharftiller.daemons.sessions.connections.probes import PROBE_S, QUIET_PRIMARY_S
 from wharftiller.tests.platform.world import (
     STORE_IP,
--- a/wharftiller/tests/platform/test_homes.py
+++ b/wharftiller/tests/platform/test_gateways.py
@@ -9,7 +9,7 @@
 import trio
 
 from standins.line_endpoints import proof
-from wharftiller.core.leadership.reading import SHARED_READ_S
+from wharftiller.core.leadership.read_schedule import SHARED_READ_S
 from wharftiller.tests.platform.world import BoxProcess, Caller, World, make_group, run_in_world
 
 BOXES = 9
--- a/wharftiller/tests/platform/test_idle.py
+++ b/wharftiller/tests/platform/test_idle.py
@@ -7,8 +7,8 @@
 import pytest
 import trio
 
-from wharftiller.core.sessions.homes import HomePlan, plan_homes
-from wharftiller.daemons.sessions.leadership.mover import PrimaryMover
+from wharftiller.core.sessions.gateways import HomePlan, plan_homes
+from wharftiller.daemons.sessions.leadership.failover_monitor import PrimaryMover
 from wharftiller.tests.platform.world import World, make_group, run_in_world
 
 BOXES = 24
@@ -61,7 +61,9 @@
 
         async def story(world: World) -> None:
             await trio.sleep(WATCHED_S)
-            monkeypatch.setattr("wharftiller.daemons.sessions.homes.homes.plan_homes", counted)
+            monkeypatch.setattr(
+                "wharftiller.daemons.sessions.forwarding.gateways.plan_homes", counted
+            )
             await trio.sleep(WATCHED_S)
             assert not calls
 
--- a/wharftiller/tests/platform/test_crests.py
+++ b/wharftiller/tests/platform/test_load_peaks.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from wharftiller.core.leadership.reading import SHARED_READ_S
+from wharftiller.core.leadership.read_schedule import SHARED_READ_S
 from wharftiller.tests.platform.world import (
     BoxProcess,
     World,
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -9,7 +9,7 @@
 import trio
 
 from standins.object_store import Mood
-from wharftiller.daemons.sessions.homes.homes import AVOIDED_S
+from wharftiller.daemons.sessions.forwarding.gateways import AVOIDED_S
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.tests.platform.world import (
     BoxProcess,
--- a/wharftiller/tests/platform/test_readers.py
+++ b/wharftiller/tests/platform/test_readers.py
@@ -11,7 +11,7 @@
 from wharftiller.core.sessions.bounds import PlatformBounds
 from wharftiller.daemons.sessions.membership import readers
 from wharftiller.daemons.sessions.membership.box_server import BoxServer
-from wharftiller.daemons.sessions.membership.neighbours import Neighbours
+from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
 from wharftiller.edges.http_server import HttpRequest, HttpResponse
 from wharftiller.platform.objects import CONFIGURATION_KIND, ENDPOINT_KIND
 from wharftiller.platform.store import ObjectStore
--- a/wharftiller/tests/platform/test_restored_platform.py
+++ b/wharftiller/tests/platform/test_restored_platform.py
@@ -10,10 +10,10 @@
 from standins.line_endpoints import LineServer
 from standins.object_store import Mood
 from wharftiller.core.errors import PlatformUnavailableError
-from wharftiller.core.leadership.doubts import ORDERS_EFFECT_S
+from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 from wharftiller.core.sessions.statements import EndpointStatus
-from wharftiller.daemons.sessions.leadership.doubts import ASK_AGAIN_S
 from wharftiller.daemons.sessions.leadership.successors import Successors
+from wharftiller.daemons.sessions.leadership.verification import ASK_AGAIN_S
 from wharftiller.daemons.sessions.membership import readers
 from wharftiller.platform.objects import OWN_KIND, RECORD_NAME
 from wharftiller.platform.store import ERA_REVISIONS, ObjectStore
--- a/wharftiller/tests/platform/test_whole_path.py
+++ b/wharftiller/tests/platform/test_whole_path.py
@@ -8,7 +8,7 @@
 import trio
 
 from standins.line_endpoints import proof
-from wharftiller.core.sessions.knowledge import Knowledge
+from wharftiller.core.sessions.state_versions import Knowledge
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.tests.platform.world import Caller, World, make_group, run_in_world
 
--- a/wharftiller/tests/platform/test_workspaces.py
+++ b/wharftiller/tests/platform/test_workspaces.py
@@ -22,7 +22,7 @@
 )
 from wharftiller.edges.http_client import HttpClient
 from wharftiller.platform.objects import decode_configuration
-from wharftiller.tests.platform.test_homes import others_in
+from wharftiller.tests.platform.test_gateways import others_in
 from wharftiller.tests.platform.world import (
     GROUP,
     BoxProcess,
--- a/wharftiller/tests/platform/world.py
+++ b/wharftiller/tests/platform/world.py
@@ -15,7 +15,7 @@
 from standins.network import FakeNetwork
 from standins.object_store import ObjectStoreStandIn
 from wharftiller.core.sessions.bounds import PlatformBounds
-from wharftiller.core.sessions.doors import BoxLimits
+from wharftiller.core.sessions.connection_limits import BoxLimits
 from wharftiller.decisions import DecisionLog
 from wharftiller.platform.__main__ import PlatformProcess
 from wharftiller.platform.settings import ProcessSettings
--- a/wharftiller/tests/test_decision_story.py
+++ b/wharftiller/tests/test_request_timeline.py
@@ -8,7 +8,7 @@
 from typer.testing import CliRunner
 
 from wharftiller.cli.wharfctl import app
-from wharftiller.decision_story import read_events, story_of
+from wharftiller.request_timeline import read_events, story_of
 from wharftiller.tests.platform.world import World, run_in_world
 
 
--- a/wharftiller/tests/test_run_report.py
+++ b/wharftiller/tests/test_run_report.py
@@ -10,9 +10,9 @@
 from typer.testing import CliRunner
 
 from wharftiller.cli.wharfctl import app
-from wharftiller.core.sessions.come_back import Cause
-from wharftiller.decision_story import read_events
+from wharftiller.core.sessions.retry_after import Cause
 from wharftiller.decisions import is_sampled
+from wharftiller.request_timeline import read_events
 from wharftiller.run_losses import Loss
 from wharftiller.run_report import RunReport, report_of
 from wharftiller.tests.platform.world import World, run_in_world
