--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -12,7 +12,7 @@
 
 PROBE_S = DETECT_S * 0.2
 REPLICA_PACE = 5
-HOME_HEARTBEAT_S = 10.0
+GATEWAY_HEARTBEAT_S = 10.0
 """Planned pace of a home's reports while its group is idle, in seconds."""
 
 WATCH_S = 5.0
@@ -25,10 +25,13 @@
     statements = scale.statements_per_s / scale.daemons
     idle = slopes["live: memory per idle caller connection"]
     per_core = slopes["live: reads a second of a core, through a proxy"]
-    homes = (
-        scale.databases * scale.homes_per_data_centre * scale.data_centres_per_group / scale.daemons
+    gateways = (
+        scale.databases
+        * scale.gateways_per_data_centre
+        * scale.data_centres_per_group
+        / scale.daemons
     )
-    servers = homes * scale.servers_per_group
+    servers = gateways * scale.servers_per_group
     report_s = slopes["proxy core share per server at today's pace"] / 4
     known = scale.databases * slopes["configuration memory per group"]
     return [
@@ -60,9 +63,9 @@
             "-",
         ),
         Row(
-            f"reports of home groups every {HOME_HEARTBEAT_S:.0f} s when idle, core share",
-            f"{servers:,.0f} servers ÷ {HOME_HEARTBEAT_S:.0f} s × {report_s * 1e6:,.0f} us",
-            100 * servers / HOME_HEARTBEAT_S * report_s,
+            f"reports of home groups every {GATEWAY_HEARTBEAT_S:.0f} s when idle, core share",
+            f"{servers:,.0f} servers ÷ {GATEWAY_HEARTBEAT_S:.0f} s × {report_s * 1e6:,.0f} us",
+            100 * servers / GATEWAY_HEARTBEAT_S * report_s,
             "%",
             100 * scale.control_core_share,
             "a few home boxes a group and data centre, one hop for the others; reports on demand "
@@ -80,8 +83,8 @@
         ),
         Row(
             "configuration held, home groups, memory",
-            f"{homes:,.0f} × {slopes['configuration memory per group']:,.0f} B",
-            homes * slopes["configuration memory per group"] / 1e6,
+            f"{gateways:,.0f} × {slopes['configuration memory per group']:,.0f} B",
+            gateways * slopes["configuration memory per group"] / 1e6,
             "MB",
             scale.control_bytes / 1e6,
             "a proxy asks its steward for its home groups only",
--- a/benchmarks/capacity_scale.py
+++ b/benchmarks/capacity_scale.py
@@ -23,7 +23,7 @@
     servers_per_group: int = 3
     relays_per_data_centre: int = 3
     watchers_per_data_centre: int = 2
-    homes_per_data_centre: int = 3
+    gateways_per_data_centre: int = 3
     control_core_share: float = 0.016
     control_bytes: float = 128e6
     control_bytes_per_s: float = 7_000
--- a/wharftiller/core/sessions/gateways.py
+++ b/wharftiller/core/sessions/gateways.py
@@ -23,7 +23,7 @@
 One for a transaction and one for single statements beside it.
 """
 
-HOME_SHARE = 8
+GATEWAY_SHARE = 8
 """Connections to one endpoint that a home should be able to have.
 
 More than twice an endpoint's slots (3 to 5): transactions hold some of them between statements.
@@ -31,34 +31,34 @@
 
 
 @attrs.frozen
-class HomePlan:
+class GatewayPlan:
     """How a group's connections are dealt out.
 
     Attributes
     ----------
-    homes : int or None
+    gateways : int or None
         Homes in each data centre; None if every box connects by itself.
     share : int
         Connections to one endpoint that a box which connects may keep.
     """
 
-    homes: int | None
+    gateways: int | None
     share: int
 
     def among(self, order: list[str]) -> list[str]:
         """Return the homes among one data centre's boxes, given in their ranked ``order``."""
-        return order if self.homes is None else order[: self.homes]
+        return order if self.gateways is None else order[: self.gateways]
 
 
-def plan_homes(max_connections: int, boxes: int, data_centres: int) -> HomePlan:
+def plan_gateways(max_connections: int, boxes: int, data_centres: int) -> GatewayPlan:
     """Return how ``boxes`` boxes in all share an endpoint's ``max_connections``."""
     if most_connections(max_connections, boxes) >= LEAST_SHARE or boxes <= data_centres:
-        return HomePlan(None, connection_share(max_connections, boxes))
+        return GatewayPlan(None, connection_share(max_connections, boxes))
     centres = max(1, data_centres)
-    homes = max(1, most_connections(max_connections, centres) // HOME_SHARE)
-    return HomePlan(homes, connection_share(max_connections, homes * centres))
+    gateways = max(1, most_connections(max_connections, centres) // GATEWAY_SHARE)
+    return GatewayPlan(gateways, connection_share(max_connections, gateways * centres))
 
 
-def homes_of(group: str, names: Iterable[str], plan: HomePlan) -> list[str]:
+def gateways_of(group: str, names: Iterable[str], plan: GatewayPlan) -> list[str]:
     """Return the homes of ``group`` among the boxes ``names`` of one data centre."""
     return plan.among(ranked(group, names))
--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -34,7 +34,7 @@
     revision, digest : int
         The platform's revision of the list in force, and its checksum.
     share_of_group : callable
-        How many connections to an endpoint of a group this box may keep; `Homes` sets it.
+        How many connections to an endpoint of a group this box may keep; `Gateways` sets it.
     """
 
     def __init__(
--- a/wharftiller/daemons/sessions/forwarding/executor.py
+++ b/wharftiller/daemons/sessions/forwarding/executor.py
@@ -46,7 +46,7 @@
     ended: bool = False
 
 
-class ForwardedDesk:
+class ForwardedExecutor:
     """Runs other boxes' statements and holds their open transactions."""
 
     def __init__(self, state: SharedState, gate: AllowanceGate) -> None:
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -26,15 +26,15 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import OpenTransaction, Session
     from wharftiller.core.sessions.statements import Statement
-    from wharftiller.daemons.sessions.forwarding.gateway_client import HomeLinks
-    from wharftiller.daemons.sessions.forwarding.gateways import Homes
+    from wharftiller.daemons.sessions.forwarding.gateway_client import GatewayClient
+    from wharftiller.daemons.sessions.forwarding.gateways import Gateways
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.serving.routed import RoutedStatement
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.edges.forwarded_json import ForwardedReply
 
-HOMES_TRIED = 3
+GATEWAYS_TRIED = 3
 """Homes that a statement is passed to, one after the other, before it is refused."""
 
 
@@ -60,13 +60,13 @@
     def __init__(
         self,
         state: SharedState,
-        homes: Homes,
+        gateways: Gateways,
         directory: BoxDirectory,
-        links: HomeLinks,
+        links: GatewayClient,
         nursery: trio.Nursery,
     ) -> None:
         self._state = state
-        self._homes = homes
+        self._gateways = gateways
         self._directory = directory
         self._links = links
         self._nursery = nursery
@@ -86,9 +86,9 @@
         why = "no box that serves it answers"
         refusal: Reply | None = None
         tried: set[str] = set()
-        for home in self._homes_to_try(routed.route.group, tried):
+        for gateway in self._gateways_to_try(routed.route.group, tried):
             try:
-                told = await self._ask(home, routed, self._message(routed))
+                told = await self._ask(gateway, routed, self._message(routed))
                 if not _is_for_another(told, routed):
                     return told.reply
                 refusal = told.reply
@@ -99,7 +99,7 @@
                 if routed.writes:
                     raise self._unknown(routed, why) from error
                 may_have_run = True
-        if self._homes.choose(routed.route.group, tried) is None:
+        if self._gateways.choose(routed.route.group, tried) is None:
             # This box is a home, or the next one with those it asked gone.
             return refusal
         if refusal is not None:
@@ -134,30 +134,30 @@
         remote = transaction.remote
         if remote is None:
             return await self._begin(routed, transaction)
-        home = self._directory.boxes.get(remote.box)
-        if home is None:
+        gateway = self._directory.boxes.get(remote.box)
+        if gateway is None:
             detail = f"{remote.box}, which ran the transaction, is gone"
             raise StatementRefusedError(RefusalKind.ROLLED_BACK, detail, Cause.BOX_LOST)
-        return await self._ask_transaction(home, routed, transaction)
+        return await self._ask_transaction(gateway, routed, transaction)
 
     async def _begin(self, routed: RoutedStatement, transaction: OpenTransaction) -> Reply | None:
         """Have a home begin the transaction with its first statement."""
         why = "no box that serves it answers"
         tried: set[str] = set()
-        for home in self._homes_to_try(routed.route.group, tried):
-            transaction.remote = RemoteTransaction(home.name, secrets.token_hex(8))
+        for gateway in self._gateways_to_try(routed.route.group, tried):
+            transaction.remote = RemoteTransaction(gateway.name, secrets.token_hex(8))
             try:
-                return await self._ask_transaction(home, routed, transaction, begins=True)
+                return await self._ask_transaction(gateway, routed, transaction, begins=True)
             except _NotBegunError as error:
                 transaction.remote = None
                 why = str(error)
-        if self._homes.choose(routed.route.group, tried) is None:
+        if self._gateways.choose(routed.route.group, tried) is None:
             return None
         raise StatementRefusedError(RefusalKind.ROLLED_BACK, why, Cause.BOX_LOST)
 
     async def _ask_transaction(
         self,
-        home: Box,
+        gateway: Box,
         routed: RoutedStatement,
         transaction: OpenTransaction,
         *,
@@ -175,7 +175,7 @@
         wrote_before = transaction.wrote
         transaction.wrote |= routed.writes
         try:
-            told = await self._ask(home, routed, message)
+            told = await self._ask(gateway, routed, message)
         except NotSentError as error:
             if begins:
                 transaction.wrote = wrote_before
@@ -192,7 +192,7 @@
         reply = told.reply
         if begins and _is_for_another(told, routed):
             transaction.wrote = wrote_before
-            raise _NotBegunError(f"{home.name} may not use the primary now")
+            raise _NotBegunError(f"{gateway.name} may not use the primary now")
         match reply.state:
             case SessionState.IDLE:
                 routed.session.transaction = None
@@ -212,31 +212,31 @@
         """Have the transaction's home roll it back, if one runs it."""
         remote, transaction.remote = transaction.remote, None
         if remote is not None:
-            self._nursery.start_soon(self._tell_end, remote)
+            self._nursery.start_soon(self._send_end, remote)
 
-    async def _tell_end(self, remote: RemoteTransaction) -> None:
-        home = self._directory.boxes.get(remote.box)
-        if home is None:
+    async def _send_end(self, remote: RemoteTransaction) -> None:
+        gateway = self._directory.boxes.get(remote.box)
+        if gateway is None:
             return
         try:
-            await self._links.tell_end(home, remote.identity)
+            await self._links.send_end(gateway, remote.identity)
         except ExchangeError as error:
             # The home ends it by itself once it has rested for too long.
-            self._state.log.event("end_not_told", other=home.name, why=str(error))
+            self._state.log.event("end_not_told", other=gateway.name, why=str(error))
 
     # Asking a home ------------------------------------------------------
 
-    def _homes_to_try(self, group: str, tried: set[str]) -> Iterator[Box]:
+    def _gateways_to_try(self, group: str, tried: set[str]) -> Iterator[Box]:
         """Yield homes to ask one after the other, noting each in ``tried``.
 
         Ends where this box is to run it itself.
         """
-        while len(tried) < HOMES_TRIED:
-            home = self._homes.choose(group, tried)
-            if home is None:
+        while len(tried) < GATEWAYS_TRIED:
+            gateway = self._gateways.choose(group, tried)
+            if gateway is None:
                 return
-            tried.add(home.name)
-            yield home
+            tried.add(gateway.name)
+            yield gateway
 
     def _message(self, routed: RoutedStatement) -> ForwardedStatement:
         session = routed.session
@@ -254,14 +254,14 @@
         )
 
     async def _ask(
-        self, home: Box, routed: RoutedStatement, message: ForwardedStatement
+        self, gateway: Box, routed: RoutedStatement, message: ForwardedStatement
     ) -> ForwardedReply:
-        """Return what the home told; raise as `HomeLinks.ask` does."""
-        told = await self._links.ask(home, message, routed.until + MARGIN_S)
-        self._take(routed, told, home)
+        """Return what the home told; raise as `GatewayClient.ask` does."""
+        told = await self._links.ask(gateway, message, routed.until + MARGIN_S)
+        self._take(routed, told, gateway)
         return told
 
-    def _take(self, routed: RoutedStatement, told: ForwardedReply, home: Box) -> None:
+    def _take(self, routed: RoutedStatement, told: ForwardedReply, gateway: Box) -> None:
         group = routed.route.group
         session = routed.session
         if told.unsettled:
@@ -270,10 +270,10 @@
             session.wrote(group, told.own_write)
         self._state.told_usable[group] = told.primary_usable
         if told.lacks_lease:
-            self._homes.note_lacking(home.name)
+            self._gateways.note_lacking(gateway.name)
         else:
-            self._homes.note_able(home.name)
-        self._state.figures.forwarded[home.name, told.reply.outcome] += 1
+            self._gateways.note_able(gateway.name)
+        self._state.figures.forwarded[gateway.name, told.reply.outcome] += 1
 
     @staticmethod
     def _unknown(routed: RoutedStatement, why: str) -> StatementRefusedError:
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from wharftiller.daemons.sessions.forwarding.gateways import Homes
+    from wharftiller.daemons.sessions.forwarding.gateways import Gateways
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
@@ -43,12 +43,12 @@
 """Answers to a question that was not understood: nothing of it was run."""
 
 
-class HomeLostError(ExchangeError):
+class GatewayLostError(ExchangeError):
     """The home stopped answering while it ran a statement."""
 
 
 @attrs.define(eq=False)
-class _HomeLink:
+class _GatewayLink:
     """What this box knows of one home from passing statements to it.
 
     Attributes
@@ -67,26 +67,26 @@
     lost: bool = False
 
 
-class HomeLinks:
+class GatewayClient:
     """Connections of one box to homes, and what each home owes."""
 
     def __init__(
         self,
         state: SharedState,
-        homes: Homes,
+        gateways: Gateways,
         directory: BoxDirectory,
         transport: Transport,
         nursery: trio.Nursery,
     ) -> None:
         self._state = state
-        self._homes = homes
+        self._gateways = gateways
         self._directory = directory
         self._transport = transport
         self._nursery = nursery
-        self._links: dict[str, _HomeLink] = {}
+        self._links: dict[str, _GatewayLink] = {}
         self._answers_owed = trio.Event()
 
-    async def ask(self, home: Box, message: ForwardedStatement, until: float) -> ForwardedReply:
+    async def ask(self, gateway: Box, message: ForwardedStatement, until: float) -> ForwardedReply:
         """Return the home's reply to a statement that times out at ``until`` (seconds).
 
         Raises
@@ -96,7 +96,7 @@
         ExchangeError
             If no usable answer came.
         """
-        link = self._link(home)
+        link = self._link(gateway)
         body = statement_to_json(message)
         with self._owed(link, until) as scope:
             try:
@@ -106,18 +106,18 @@
                 raise
         if scope.cancelled_caught:
             if link.lost:
-                raise HomeLostError(f"{home.name}, which ran it, stopped answering")
-            raise HomeLostError(f"{home.name} did not answer in time")
+                raise GatewayLostError(f"{gateway.name}, which ran it, stopped answering")
+            raise GatewayLostError(f"{gateway.name} did not answer in time")
         link.heard_at = trio.current_time()
         if answer.status != 200:
-            detail = f"{home.name} could not run it: {answer.body[:80]!r}"
+            detail = f"{gateway.name} could not run it: {answer.body[:80]!r}"
             raise NotSentError(detail) if answer.status in REFUSED_UNREAD else ExchangeError(detail)
         try:
             return reply_from_json(answer.json())
         except BadRequestError as error:
             raise ExchangeError(str(error)) from error
 
-    async def tell_end(self, home: Box, transaction: str) -> None:
+    async def send_end(self, gateway: Box, transaction: str) -> None:
         """Have a home roll a transaction back, if it takes the word in time.
 
         Raises
@@ -126,17 +126,17 @@
             If no answer came.
         """
         with trio.move_on_after(CONNECT_TIMEOUT_S):
-            await self._link(home).pool.post("/peer/end", {"transaction": transaction})
+            await self._link(gateway).pool.post("/peer/end", {"transaction": transaction})
 
-    def _link(self, home: Box) -> _HomeLink:
-        link = self._links.get(home.name)
-        if link is None or link.box.incarnation != home.incarnation:
-            pool = HttpPool(self._transport, home.address, CONNECT_TIMEOUT_S)
-            link = self._links[home.name] = _HomeLink(home, pool)
+    def _link(self, gateway: Box) -> _GatewayLink:
+        link = self._links.get(gateway.name)
+        if link is None or link.box.incarnation != gateway.incarnation:
+            pool = HttpPool(self._transport, gateway.address, CONNECT_TIMEOUT_S)
+            link = self._links[gateway.name] = _GatewayLink(gateway, pool)
         return link
 
     @contextmanager
-    def _owed(self, link: _HomeLink, until: float) -> Iterator[trio.CancelScope]:
+    def _owed(self, link: _GatewayLink, until: float) -> Iterator[trio.CancelScope]:
         """Note that ``link`` owes an answer; cancelled when it is lost or time is out."""
         link.lost = False
         with trio.CancelScope(deadline=until + ANSWER_SLACK_S) as scope:
@@ -162,12 +162,12 @@
             if not any(link.owed for link in self._links.values()):
                 self._answers_owed = trio.Event()
 
-    async def _ask_alive(self, link: _HomeLink) -> None:
+    async def _ask_alive(self, link: _GatewayLink) -> None:
         if not await self._directory.is_alive(link.box, ALIVE_TIMEOUT_S):
             self._lose(link, "it owes answers and does not say that it lives")
 
-    def _lose(self, link: _HomeLink, why: str) -> None:
-        self._homes.avoid(link.box.name)
+    def _lose(self, link: _GatewayLink, why: str) -> None:
+        self._gateways.avoid(link.box.name)
         self._state.log.event("home_lost", other=link.box.name, owed=len(link.owed), why=why)
         link.lost = True
         for scope in link.owed:
@@ -175,7 +175,7 @@
 
     async def leave(self, name: str, for_s: float) -> None:
         """Pass nothing new to a box that is stopping."""
-        self._homes.avoid(name, for_s)
+        self._gateways.avoid(name, for_s)
         link = self._links.get(name)
         if link is not None:
             await link.pool.aclose()
--- a/wharftiller/daemons/sessions/forwarding/gateways.py
+++ b/wharftiller/daemons/sessions/forwarding/gateways.py
@@ -9,7 +9,7 @@
 import trio
 
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.gateways import HomePlan, homes_of, plan_homes
+from wharftiller.core.sessions.gateways import GatewayPlan, gateways_of, plan_gateways
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
@@ -22,7 +22,7 @@
 """Time for which a home that did not answer is passed over, in seconds: a restart takes 1 to 2."""
 
 
-SPARE_HOMES = 1
+SPARE_GATEWAYS = 1
 """Boxes after the homes of a group in each data centre that keep leases in an outage as well."""
 
 
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class _GroupHomes:
+class _GroupGateways:
     """The homes of one group in this data centre.
 
     Attributes
@@ -44,7 +44,7 @@
         Their names, best first.
     spares : tuple of str
         The boxes that follow them.
-    is_home : bool
+    is_gateway : bool
         Whether this box is one.
     chosen : str or None
         The one that this box passes statements to; None if it runs them itself.
@@ -52,15 +52,15 @@
         Whether statements are passed to this box where one of the homes does not answer.
     """
 
-    plan: HomePlan
+    plan: GatewayPlan
     near: tuple[str, ...]
     spares: tuple[str, ...]
-    is_home: bool
+    is_gateway: bool
     chosen: str | None
     is_spare: bool = False
 
 
-class Homes:
+class Gateways:
     """The homes of every group, by the list of boxes and by who answered lately.
 
     They are worked out once for each list of boxes, configuration and choice of boxes passed
@@ -72,7 +72,7 @@
         self._directory = directory
         self._avoided_until: dict[str, float] = {}
         self._lacking_until: dict[str, float] = {}
-        self._known: dict[str, _GroupHomes] = {}
+        self._known: dict[str, _GroupGateways] = {}
         self._known_everywhere: dict[str, list[str]] = {}
         self._known_list = directory.list
         self._known_configuration = state.configuration
@@ -80,28 +80,30 @@
         state.endpoints.share_of_group = self.share
         state.serves_group = self.serves
 
-    def plan(self, group: str) -> HomePlan:
+    def plan(self, group: str) -> GatewayPlan:
         """Return how ``group``'s connections are dealt out among the boxes listed."""
-        return self._homes(group).plan
+        return self._gateways(group).plan
 
     def share(self, group: str) -> int:
         """Return how many connections to one endpoint of ``group`` this box may keep."""
-        homes = self._homes(group)
-        return homes.plan.share if homes.is_home else 1
+        gateways = self._gateways(group)
+        return gateways.plan.share if gateways.is_gateway else 1
 
     def serves(self, group: str) -> bool:
         """Return whether this box runs ``group``'s statements by itself."""
-        return self._homes(group).is_home
+        return self._gateways(group).is_gateway
 
-    def all_homes(self, group: str) -> list[str] | None:
+    def all_gateways(self, group: str) -> list[str] | None:
         """Return ``group``'s homes in all data centres; None if every box is one."""
         plan = self.plan(group)
-        if plan.homes is None:
+        if plan.gateways is None:
             return None
         known = self._known_everywhere.get(group)
         if known is None:
             live = self._directory.list.live
-            known = [home for names in live.values() for home in homes_of(group, names, plan)]
+            known = [
+                gateway for names in live.values() for gateway in gateways_of(group, names, plan)
+            ]
             self._known_everywhere[group] = known
         return known
 
@@ -109,7 +111,7 @@
         """Return the other boxes that are homes of ``groups``; None if every box is one."""
         found: dict[str, Box] = {}
         for group in groups:
-            names = self.all_homes(group)
+            names = self.all_gateways(group)
             if names is None:
                 return None
             boxes = self._directory.boxes
@@ -118,29 +120,33 @@
 
     def may_run_any(self) -> bool:
         """Return whether other boxes may pass statements of some group to this one."""
-        homes = map(self._homes, self._state.configuration.groups)
-        return any(each.is_home or each.is_spare for each in homes)
+        gateways = map(self._gateways, self._state.configuration.groups)
+        return any(each.is_gateway or each.is_spare for each in gateways)
 
     def choose(self, group: str, tried: Collection[str]) -> Box | None:
         """Return the home to pass a statement to; None if this box is the one."""
-        homes = self._homes(group)
+        gateways = self._gateways(group)
         if tried:
-            homes = self._work_out(group, tried)
-        chosen = homes.chosen
-        if self._lacking_until or homes.is_home:
-            chosen = self._with_lease(group, homes, tried)
+            gateways = self._work_out(group, tried)
+        chosen = gateways.chosen
+        if self._lacking_until or gateways.is_gateway:
+            chosen = self._with_lease(group, gateways, tried)
         return None if chosen is None else self._directory.boxes[chosen]
 
-    def _with_lease(self, group: str, homes: _GroupHomes, tried: Collection[str]) -> str | None:
+    def _with_lease(
+        self, group: str, gateways: _GroupGateways, tried: Collection[str]
+    ) -> str | None:
         """Return the home to pass a statement to, one that is not known to lack a lease if any."""
         own = self._state.box
-        if homes.is_home and (homes.plan.homes is None or not self._state.lacks_lease(group)):
-            return homes.chosen
+        if gateways.is_gateway and (
+            gateways.plan.gateways is None or not self._state.lacks_lease(group)
+        ):
+            return gateways.chosen
         now = trio.current_time()
         self._lacking_until = {n: until for n, until in self._lacking_until.items() if until > now}
         passed_over = {own, *self._lacking_until, *tried}
-        able = [n for n in (*homes.near, *homes.spares) if n not in passed_over]
-        return ranked(own + group, able)[0] if able else homes.chosen
+        able = [n for n in (*gateways.near, *gateways.spares) if n not in passed_over]
+        return ranked(own + group, able)[0] if able else gateways.chosen
 
     def note_lacking(self, name: str) -> None:
         """Note that a home may not use a primary that others may."""
@@ -155,7 +161,7 @@
         self._avoided_until[name] = trio.current_time() + for_s
         self._known_until = -math.inf
 
-    def _homes(self, group: str) -> _GroupHomes:
+    def _gateways(self, group: str) -> _GroupGateways:
         self._forget_outdated()
         known = self._known.get(group)
         if known is None:
@@ -178,22 +184,24 @@
         self._avoided_until = {n: end for n, end in self._avoided_until.items() if end > now}
         self._known_until = min(self._avoided_until.values(), default=math.inf)
 
-    def _work_out(self, group: str, tried: Collection[str]) -> _GroupHomes:
+    def _work_out(self, group: str, tried: Collection[str]) -> _GroupGateways:
         plan = self._plan(group)
         own = self._state.box
         order = ranked(group, self._near(tried))
         near = tuple(plan.among(order))
-        spares = tuple(order[len(near) : len(near) + SPARE_HOMES])
-        if plan.homes is None or own in near:
-            return _GroupHomes(plan, near, spares, True, None)
+        spares = tuple(order[len(near) : len(near) + SPARE_GATEWAYS])
+        if plan.gateways is None or own in near:
+            return _GroupGateways(plan, near, spares, True, None)
         # Boxes spread over the homes; each keeps to one while it answers.
-        return _GroupHomes(plan, near, spares, False, ranked(own + group, near)[0], own in spares)
+        return _GroupGateways(
+            plan, near, spares, False, ranked(own + group, near)[0], own in spares
+        )
 
-    def _plan(self, group: str) -> HomePlan:
+    def _plan(self, group: str) -> GatewayPlan:
         limits = self._state.configuration.groups.get(group)
         most = limits.max_connections if limits is not None else 1
         boxes = self._directory.list
-        return plan_homes(most, len(boxes.others) + 1, len(boxes.data_centres))
+        return plan_gateways(most, len(boxes.others) + 1, len(boxes.data_centres))
 
     def _near(self, tried: Collection[str]) -> list[str]:
         """Return the boxes of this data centre that may be homes, this one among them."""
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from wharftiller.core.leadership.failover import Candidate
     from wharftiller.core.leadership.record import LeadershipRecord
-    from wharftiller.daemons.sessions.forwarding.gateways import Homes
+    from wharftiller.daemons.sessions.forwarding.gateways import Gateways
     from wharftiller.daemons.sessions.leadership.failover_runner import ChangeRunner
     from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
     from wharftiller.daemons.sessions.leadership.successors import Successors
@@ -72,7 +72,7 @@
         self,
         state: SharedState,
         directory: BoxDirectory,
-        homes: Homes,
+        gateways: Gateways,
         writer: RecordWriter,
         successors: Successors,
         runner: ChangeRunner,
@@ -80,7 +80,7 @@
     ) -> None:
         self._state = state
         self._directory = directory
-        self._homes = homes
+        self._gateways = gateways
         self._writer = writer
         self._successors = successors
         self._runner = runner
@@ -210,7 +210,7 @@
         at once: each may take half a second.
         """
         heard = False
-        asked = self._homes.others_of([group])
+        asked = self._gateways.others_of([group])
 
         async def ask_boxes() -> None:
             nonlocal heard
@@ -234,7 +234,9 @@
 
     def _turn(self, what: str) -> int:
         """Return how many boxes go before this one; those far back go together."""
-        boxes = self._homes.all_homes(what) if what in self._state.leases.record.groups else None
+        boxes = (
+            self._gateways.all_gateways(what) if what in self._state.leases.record.groups else None
+        )
         if boxes is None:
             boxes = self._directory.live()
         return min(MOST_TURNS, turn_of(self._state.box, boxes, what))
@@ -270,7 +272,7 @@
 
     def _take_over_turn(self, record: LeadershipRecord) -> int:
         """Return how many boxes that run statements of the groups concerned go first."""
-        others = self._homes.others_of(record.moving)
+        others = self._gateways.others_of(record.moving)
         names = self._directory.live() if others is None else [box.name for box in others]
         return min(MOST_TURNS, turn_of(self._state.box, names, str(record.fence)))
 
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -17,7 +17,7 @@
     from wharftiller.core.leadership.record import LeadershipRecord
     from wharftiller.core.sessions.endpoints import EndpointRow
     from wharftiller.daemons.sessions.connections.probes import Prober
-    from wharftiller.daemons.sessions.forwarding.gateways import Homes
+    from wharftiller.daemons.sessions.forwarding.gateways import Gateways
     from wharftiller.daemons.sessions.interfaces import Promotions
     from wharftiller.daemons.sessions.leadership.lease_revocation import BoxStopper
     from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
@@ -58,7 +58,7 @@
         self,
         state: SharedState,
         directory: BoxDirectory,
-        homes: Homes,
+        gateways: Gateways,
         writer: RecordWriter,
         stopper: BoxStopper,
         successors: Successors,
@@ -67,7 +67,7 @@
     ) -> None:
         self._state = state
         self._directory = directory
-        self._homes = homes
+        self._gateways = gateways
         self._writer = writer
         self._stopper = stopper
         self._successors = successors
@@ -132,8 +132,8 @@
 
         The others pass them on, and hear of it from their readers within a second.
         """
-        homes = self._homes.others_of(groups)
-        await self._directory.tell_record(self._state.leases.record, homes)
+        gateways = self._gateways.others_of(groups)
+        await self._directory.tell_record(self._state.leases.record, gateways)
 
     async def _lost_that_answer(self, record: LeadershipRecord) -> list[str]:
         """Ask every lost primary once more; return the groups whose answers."""
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -19,8 +19,8 @@
 
     from wharftiller.core.leadership.record import LeadershipRecord
     from wharftiller.daemons.sessions.allowances.token_server import KeeperDesk
-    from wharftiller.daemons.sessions.forwarding.executor import ForwardedDesk
-    from wharftiller.daemons.sessions.forwarding.gateway_client import HomeLinks
+    from wharftiller.daemons.sessions.forwarding.executor import ForwardedExecutor
+    from wharftiller.daemons.sessions.forwarding.gateway_client import GatewayClient
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.readers import ReaderDesk
     from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
@@ -67,9 +67,9 @@
         desk: ReaderDesk,
         known: Callable[[Any], dict[str, Any]],
         check: Callable[[list[str]], Awaitable[None]],
-        desk_for_others: ForwardedDesk,
+        desk_for_others: ForwardedExecutor,
         keeper_desk: KeeperDesk,
-        links: HomeLinks,
+        links: GatewayClient,
         grace_s: float,
     ) -> None:
         self._state = state
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -16,10 +16,10 @@
 from wharftiller.daemons.sessions.connections.pool import MAINTENANCE_S
 from wharftiller.daemons.sessions.connections.probes import Prober
 from wharftiller.daemons.sessions.connections.relay import RelayServer
-from wharftiller.daemons.sessions.forwarding.executor import ForwardedDesk
+from wharftiller.daemons.sessions.forwarding.executor import ForwardedExecutor
 from wharftiller.daemons.sessions.forwarding.forwarder import Forwarder
-from wharftiller.daemons.sessions.forwarding.gateway_client import HomeLinks
-from wharftiller.daemons.sessions.forwarding.gateways import Homes
+from wharftiller.daemons.sessions.forwarding.gateway_client import GatewayClient
+from wharftiller.daemons.sessions.forwarding.gateways import Gateways
 from wharftiller.daemons.sessions.gauges import believed
 from wharftiller.daemons.sessions.leadership.failover_monitor import PrimaryMover
 from wharftiller.daemons.sessions.leadership.failover_runner import ChangeRunner
@@ -129,9 +129,9 @@
         self._directory = BoxDirectory(self.state, transport, self._box)
         marks = DeathMarks(self._directory)
         listings = Listings(self.state, self._directory, marks, self._box)
-        self._homes = Homes(self.state, self._directory)
-        self._links = HomeLinks(self.state, self._homes, self._directory, transport, nursery)
-        forwarder = Forwarder(self.state, self._homes, self._directory, self._links, nursery)
+        self._gateways = Gateways(self.state, self._directory)
+        self._links = GatewayClient(self.state, self._gateways, self._directory, transport, nursery)
+        forwarder = Forwarder(self.state, self._gateways, self._directory, self._links, nursery)
         keeper_links = KeeperLinks(transport)
         self._keeper_desk = KeeperDesk(
             self.state, self._directory, keeper_links, identity.bounds.allowances, nursery
@@ -140,7 +140,7 @@
         self._runner = StatementRunner(self.state, gate, forwarder)
         self.door = CallerDoor(self.state, limits, open_streams)
         self.sessions = SessionServer(self.state, self._runner, self.door)
-        self._for_others = ForwardedDesk(self.state, gate)
+        self._for_others = ForwardedExecutor(self.state, gate)
         self._drain = Drain(self.sessions, self._for_others)
         desk = ReaderDesk(self.state, incarnation)
         readers = self._readers = ReaderClient(
@@ -174,7 +174,7 @@
         changes = ChangeRunner(
             self.state,
             self._directory,
-            self._homes,
+            self._gateways,
             writer,
             stopper,
             successors,
@@ -184,7 +184,7 @@
         self._mover = PrimaryMover(
             self.state,
             self._directory,
-            self._homes,
+            self._gateways,
             writer,
             successors,
             changes,
@@ -197,7 +197,7 @@
             self._directory,
             readers,
             self._neighbours,
-            self._homes.may_run_any,
+            self._gateways.may_run_any,
             nursery,
         )
         self._reads = SharedReads(
--- a/wharftiller/daemons/sessions/serving/drain.py
+++ b/wharftiller/daemons/sessions/serving/drain.py
@@ -9,7 +9,7 @@
 from wharftiller.core.sessions.isolation import BALANCER_SEES_S
 
 if TYPE_CHECKING:
-    from wharftiller.daemons.sessions.forwarding.executor import ForwardedDesk
+    from wharftiller.daemons.sessions.forwarding.executor import ForwardedExecutor
     from wharftiller.daemons.sessions.serving.callers import SessionServer
 
 LAST_MOMENT_S = 0.5
@@ -22,7 +22,7 @@
 class Drain:
     """Ends what a stopping box serves; never cuts a request."""
 
-    def __init__(self, sessions: SessionServer, for_others: ForwardedDesk) -> None:
+    def __init__(self, sessions: SessionServer, for_others: ForwardedExecutor) -> None:
         self._sessions = sessions
         self._for_others = for_others
 
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -65,7 +65,7 @@
     check_soon : trio.Event
         Set to have the leases checked without waiting for the next time.
     serves_group : callable
-        Whether this box runs a group's statements by itself; `Homes` sets it.
+        Whether this box runs a group's statements by itself; `Gateways` sets it.
     change_s : float
         How long changes of primary took lately, from the first record to the last, in seconds.
     platform_away : bool
--- a/wharftiller/tests/core/sessions/test_gateways.py
+++ b/wharftiller/tests/core/sessions/test_gateways.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wharftiller.core.sessions.gateways import LEAST_SHARE, homes_of, plan_homes
+from wharftiller.core.sessions.gateways import LEAST_SHARE, gateways_of, plan_gateways
 from wharftiller.core.sessions.shares import KEPT_PART, connection_share, most_connections
 
 
@@ -22,8 +22,8 @@
     def test_where_there_are_enough_every_box_connects(
         self, limit: int, boxes: int, centres: int
     ) -> None:
-        plan = plan_homes(limit, boxes, centres)
-        assert plan.homes is None
+        plan = plan_gateways(limit, boxes, centres)
+        assert plan.gateways is None
         assert most_connections(limit, boxes) >= LEAST_SHARE
         assert plan.share * boxes <= limit
 
@@ -33,16 +33,16 @@
     def test_where_there_are_too_few_homes_keep_within_the_limit(
         self, limit: int, boxes: int, centres: int
     ) -> None:
-        plan = plan_homes(limit, boxes, centres)
-        if plan.homes is None:
+        plan = plan_gateways(limit, boxes, centres)
+        if plan.gateways is None:
             assert plan.share * boxes <= limit
         else:
-            assert plan.share * plan.homes * centres <= limit
+            assert plan.share * plan.gateways * centres <= limit
 
     def test_homes_are_the_same_for_every_box_and_differ_by_group(self) -> None:
         names = [f"box-{number}" for number in range(24)]
-        plan = plan_homes(53, 72, 3)
-        assert plan.homes == 2
-        assert homes_of("seats", names, plan) == homes_of("seats", reversed(names), plan)
-        chosen = {tuple(homes_of(f"group-{number}", names, plan)) for number in range(8)}
+        plan = plan_gateways(53, 72, 3)
+        assert plan.gateways == 2
+        assert gateways_of("seats", names, plan) == gateways_of("seats", reversed(names), plan)
+        chosen = {tuple(gateways_of(f"group-{number}", names, plan)) for number in range(8)}
         assert len(chosen) > 4
--- a/wharftiller/tests/platform/test_failovers_under_failures.py
+++ b/wharftiller/tests/platform/test_failovers_under_failures.py
@@ -258,11 +258,11 @@
         async def story(world: World) -> None:
             await trio.sleep(5)
             group = world.groups[0]
-            homes = world.homes_of(group.name)
+            gateways = world.gateways_of(group.name)
             note_rounds(asked, monkeypatch)
-            world.network.cut([homes[0].ip], [group.primary.address.partition(":")[0]])
+            world.network.cut([gateways[0].ip], [group.primary.address.partition(":")[0]])
             await trio.sleep(CUT_S)
-            assert set(asked) <= {home.name for home in homes}
+            assert set(asked) <= {gateway.name for gateway in gateways}
             assert len(asked) <= MOST_ASKED
             assert not group.promotions
 
@@ -277,8 +277,8 @@
         async def story(world: World) -> None:
             await trio.sleep(5)
             group = world.groups[0]
-            homes = world.homes_of(group.name)
-            cut = next(box for box in world.boxes.values() if box not in homes)
+            gateways = world.gateways_of(group.name)
+            cut = next(box for box in world.boxes.values() if box not in gateways)
             others = [box.ip for box in world.boxes.values() if box is not cut]
             world.network.cut([cut.ip], [*others, STORE_IP])
             note_rounds(asked, monkeypatch)
--- a/wharftiller/tests/platform/test_gateways.py
+++ b/wharftiller/tests/platform/test_gateways.py
@@ -27,21 +27,21 @@
     run_in_world(settled, boxes=BOXES, groups=[make_group(max_connections=SCARCE, **changes)])
 
 
-def home_of(world: World, centre: str) -> BoxProcess:
+def gateway_of(world: World, centre: str) -> BoxProcess:
     """Return the box that runs the statements of one data centre."""
     near = [box for box in world.boxes.values() if box.process.proxy.state.data_centre == centre]  # type: ignore[union-attr]
-    homes = [box for box in near if box.process.proxy.state.serves_group("seats")]  # type: ignore[union-attr]
-    assert len(homes) == 1
-    return homes[0]
+    gateways = [box for box in near if box.process.proxy.state.serves_group("seats")]  # type: ignore[union-attr]
+    assert len(gateways) == 1
+    return gateways[0]
 
 
 def others_in(world: World, centre: str) -> list[BoxProcess]:
     """Return the boxes of a data centre that pass their statements on."""
-    home = home_of(world, centre)
+    gateway = gateway_of(world, centre)
     return [
         box
         for box in world.boxes.values()
-        if box is not home and box.process.proxy.state.data_centre == centre  # type: ignore[union-attr]
+        if box is not gateway and box.process.proxy.state.data_centre == centre  # type: ignore[union-attr]
     ]
 
 
@@ -108,11 +108,11 @@
     def test_a_transaction_whose_caller_is_gone_is_rolled_back(self, leaves: str) -> None:
         async def story(world: World) -> None:
             box = others_in(world, "b")[0]
-            home = home_of(world, "b")
+            gateway = gateway_of(world, "b")
             caller = await world.call(box, "primary")
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
-            held = home.process.proxy._for_others  # type: ignore[union-attr]
+            held = gateway.process.proxy._for_others  # type: ignore[union-attr]
             assert held.count == 1
             if leaves == "by closing":
                 caller.close()
@@ -130,7 +130,7 @@
             box = others_in(world, "a")[0]
             caller = await world.call(box, "primary")
             await caller.ask("WRITE seat1 anna")
-            await world.kill_box(home_of(world, "a"))
+            await world.kill_box(gateway_of(world, "a"))
             with trio.fail_after(2):
                 while (await caller.ask("WRITE seat1 boris"))[0] != "ROW written":
                     await trio.sleep(0.05)
@@ -143,7 +143,7 @@
             box, other = others_in(world, "a")
             caller = await world.call(box, "primary")
             await caller.ask("WRITE seat1 anna")
-            await world.kill_box(home_of(world, "a"))
+            await world.kill_box(gateway_of(world, "a"))
             await world.kill_box(other)
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
             assert (await caller.ask("WRITE seat1 boris"))[0] == "ROW written"
@@ -157,8 +157,8 @@
             caller = await world.call(box, "primary")
             await caller.send(b"QUERY id-1 WRITE seat1 anna\r\n")
             await trio.sleep(0.1)
-            home = home_of(world, "a")
-            world.network.cut([home.ip], [each.ip for each in world.boxes.values()])
+            gateway = gateway_of(world, "a")
+            world.network.cut([gateway.ip], [each.ip for each in world.boxes.values()])
             started = trio.current_time()
             assert (await caller.line() or "").startswith("ERROR INDOUBT ")
             assert trio.current_time() - started < 0.8
@@ -173,8 +173,8 @@
             box = others_in(world, "a")[0]
             caller = await world.call(box, "bounded_staleness")
             await caller.ask("READ seat1")
-            home = home_of(world, "a")
-            world.network.cut([home.ip], [each.ip for each in world.boxes.values()])
+            gateway = gateway_of(world, "a")
+            world.network.cut([gateway.ip], [each.ip for each in world.boxes.values()])
             assert (await caller.ask("READ seat1"))[0] == "ROW none"
 
         run_scarce(story)
@@ -183,11 +183,11 @@
         async def story(world: World) -> None:
             box = others_in(world, "a")[0]
             callers = [await world.call(box, "primary") for _ in range(4)]
-            home = home_of(world, "a")
+            gateway = gateway_of(world, "a")
             refused: list[list[str]] = []
 
             async def work(caller: Caller, number: int) -> None:
-                while not home.ended.is_set():
+                while not gateway.ended.is_set():
                     answer = await caller.ask(f"WRITE seat{number} x")
                     if answer[0] != "ROW written":
                         refused.append(answer)
@@ -197,7 +197,7 @@
                 for number, caller in enumerate(callers):
                     nursery.start_soon(work, caller, number)
                 await trio.sleep(0.3)
-                home.told.set()
+                gateway.told.set()
             assert refused == []
 
         run_scarce(story)
--- a/wharftiller/tests/platform/test_idle.py
+++ b/wharftiller/tests/platform/test_idle.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from wharftiller.core.sessions.gateways import HomePlan, plan_homes
+from wharftiller.core.sessions.gateways import GatewayPlan, plan_gateways
 from wharftiller.daemons.sessions.leadership.failover_monitor import PrimaryMover
 from wharftiller.tests.platform.world import World, make_group, run_in_world
 
@@ -55,14 +55,14 @@
     def test_homes_are_worked_out_once_for_each_list(self, monkeypatch: pytest.MonkeyPatch) -> None:
         calls = []
 
-        def counted(max_connections: int, boxes: int, data_centres: int) -> HomePlan:
+        def counted(max_connections: int, boxes: int, data_centres: int) -> GatewayPlan:
             calls.append(boxes)
-            return plan_homes(max_connections, boxes, data_centres)
+            return plan_gateways(max_connections, boxes, data_centres)
 
         async def story(world: World) -> None:
             await trio.sleep(WATCHED_S)
             monkeypatch.setattr(
-                "wharftiller.daemons.sessions.forwarding.gateways.plan_homes", counted
+                "wharftiller.daemons.sessions.forwarding.gateways.plan_gateways", counted
             )
             await trio.sleep(WATCHED_S)
             assert not calls
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -33,7 +33,7 @@
 """Calls to the platform in the outage: 327 before boxes that nobody asks held back, 219 since."""
 
 
-def homes(world: World, data_centre: str) -> list[BoxProcess]:
+def gateways(world: World, data_centre: str) -> list[BoxProcess]:
     """Return the boxes of a data centre that run the group's statements."""
     states = {box.name: box.process.proxy.state for box in world.boxes.values()}  # type: ignore[union-attr]
     return [
@@ -69,16 +69,16 @@
     def test_a_home_that_dies_is_followed_by_its_spare(self) -> None:
         async def story(world: World) -> None:
             await trio.sleep(5)
-            (home,) = homes(world, "a")
+            (gateway,) = gateways(world, "a")
             other = next(
                 box
                 for box in world.boxes.values()
-                if box is not home and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
+                if box is not gateway and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
             )
             caller = await world.call(other, "primary")
             world.store.mood = Mood.AWAY
             await trio.sleep(OUTAGE_S)
-            await world.kill_box(home)
+            await world.kill_box(gateway)
             assert await write_until_done(caller, "WRITE seat1 x", AVOIDED_S) < 1.0
 
         run_in_world(story, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
@@ -91,17 +91,17 @@
 
         async def story(world: World) -> None:
             await trio.sleep(5)
-            (home,) = homes(world, "a")
+            (gateway,) = gateways(world, "a")
             other = next(
                 box
                 for box in world.boxes.values()
-                if box is not home and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
+                if box is not gateway and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
             )
             world.store.mood = Mood.AWAY
-            await world.kill_box(home)
-            home = await world.start_box(int(home.name.removeprefix("box-")))
+            await world.kill_box(gateway)
+            gateway = await world.start_box(int(gateway.name.removeprefix("box-")))
             await trio.sleep(AVOIDED_S + 1.0)
-            caller = await world.call(home if caller_at == "the home" else other, "primary")
+            caller = await world.call(gateway if caller_at == "the home" else other, "primary")
             started = trio.current_time()
             for number in range(10):
                 assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
--- a/wharftiller/tests/platform/world.py
+++ b/wharftiller/tests/platform/world.py
@@ -223,7 +223,7 @@
         finally:
             box.ended.set()
 
-    def homes_of(self, group: str) -> list[BoxProcess]:
+    def gateways_of(self, group: str) -> list[BoxProcess]:
         """Return the boxes that run a group's statements by themselves."""
         proxies = {name: box.process.proxy for name, box in self.boxes.items()}
         return [
