--- a/wharftiller/core/sessions/allowances/__init__.py
+++ b/wharftiller/core/sessions/allowances/__init__.py
@@ -13,25 +13,29 @@
 from __future__ import annotations
 
 from wharftiller.core.sessions.allowances.bounds import TOKEN_LIFE_S, AllowanceBounds
-from wharftiller.core.sessions.allowances.buckets import HELD_S, MOST_HELD, HeldTokens
-from wharftiller.core.sessions.allowances.shares import LoanAnswer, LoanQuestion
+from wharftiller.core.sessions.allowances.buckets import (
+    MAX_PREFETCHED,
+    PREFETCH_S,
+    PrefetchedTokens,
+)
+from wharftiller.core.sessions.allowances.shares import LoanReply, LoanRequest
 from wharftiller.core.sessions.allowances.token_allocator import (
-    AllowanceKeeper,
     Grant,
-    KeeperHistory,
-    keeper_order,
+    TokenAllocator,
+    TokenServerHistory,
+    token_server_order,
 )
 
 __all__ = [
-    "HELD_S",
-    "MOST_HELD",
+    "MAX_PREFETCHED",
+    "PREFETCH_S",
     "TOKEN_LIFE_S",
     "AllowanceBounds",
-    "AllowanceKeeper",
     "Grant",
-    "HeldTokens",
-    "KeeperHistory",
-    "LoanAnswer",
-    "LoanQuestion",
-    "keeper_order",
+    "LoanReply",
+    "LoanRequest",
+    "PrefetchedTokens",
+    "TokenAllocator",
+    "TokenServerHistory",
+    "token_server_order",
 ]
--- a/wharftiller/core/sessions/allowances/bounds.py
+++ b/wharftiller/core/sessions/allowances/bounds.py
@@ -12,7 +12,7 @@
 TOKEN_LIFE_S = 1.0
 """Time from a grant until its operation is sent to an endpoint at the latest, in seconds.
 
-A box uses a token within `HELD_S`. An operation that then waits for longer than what is left
+A box uses a token within `PREFETCH_S`. An operation that then waits for longer than what is left
 takes another one before it is sent.
 """
 
--- a/wharftiller/core/sessions/allowances/buckets.py
+++ b/wharftiller/core/sessions/allowances/buckets.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from wharftiller.core.sessions.allowances.bounds import BucketSize
 
-HELD_S = 0.5
+PREFETCH_S = 0.5
 """Time for which a box may use a token that it took ahead, in seconds: a token taken for nothing
 is lost, and one question in half a second costs a box nothing."""
 
-MOST_HELD = 8
+MAX_PREFETCHED = 8
 """Tokens that a box takes ahead at most."""
 
 MOST_AHEAD_S = 8.0
@@ -112,7 +112,7 @@
 
 
 @attrs.define
-class HeldTokens:
+class PrefetchedTokens:
     """Tokens of one workspace that a box took ahead.
 
     Attributes
@@ -160,16 +160,16 @@
         return lapsed if keeper == self.keeper else 0
 
     def wanted(self, now: float) -> int:
-        """Return how many to ask for: as many as were used lately within `HELD_S`."""
-        elapsed_s = max(now - self._asked_at, HELD_S)
+        """Return how many to ask for: as many as were used lately within `PREFETCH_S`."""
+        elapsed_s = max(now - self._asked_at, PREFETCH_S)
         pace = (self._used + 1) / elapsed_s
         self._asked_at = now
         self._used = 0
-        return max(1, min(MOST_HELD, int(pace * HELD_S)))
+        return max(1, min(MAX_PREFETCHED, int(pace * PREFETCH_S)))
 
     def granted(self, tokens: int, asked_at: float, keeper: str) -> None:
         """Add what ``keeper`` granted to a question of ``asked_at`` (seconds)."""
-        until = asked_at + HELD_S
+        until = asked_at + PREFETCH_S
         if keeper != self.keeper:
             self.tokens = self._lapsed = 0
             self.keeper = keeper
--- a/wharftiller/core/sessions/allowances/shares.py
+++ b/wharftiller/core/sessions/allowances/shares.py
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen
-class LoanQuestion:
+class LoanRequest:
     """What a keeper asks the keeper of another data centre.
 
     Attributes
@@ -101,7 +101,7 @@
 
 
 @attrs.frozen
-class LoanAnswer:
+class LoanReply:
     """What the asked keeper answers.
 
     Attributes
@@ -171,22 +171,20 @@
 
     def questions(
         self, centre: str, keeper: str, is_short: bool, now: float
-    ) -> dict[str, LoanQuestion]:
+    ) -> dict[str, LoanRequest]:
         """Return what ``keeper`` of ``centre`` asks the keeper of each other data centre."""
         self._asked_at = now
         held = {other: self._held.get(other, Loan()).left(now) for other in self._others}
-        return {
-            other: LoanQuestion(centre, keeper, held[other], is_short) for other in self._others
-        }
+        return {other: LoanRequest(centre, keeper, held[other], is_short) for other in self._others}
 
-    def take(self, lender: str, answer: LoanAnswer, asked_at: float, now: float) -> None:
+    def take(self, lender: str, answer: LoanReply, asked_at: float, now: float) -> None:
         """Take in the answer to a question of ``asked_at`` (seconds)."""
         self._held[lender] = Loan(answer.lent, asked_at + LOAN_S)
         self._note_held(lender, answer.held, now)
 
     # Lending ----------------------------------------------------------------
 
-    def lend(self, question: LoanQuestion, unused: float, now: float) -> LoanAnswer:
+    def lend(self, question: LoanRequest, unused: float, now: float) -> LoanReply:
         """Return what the asking data centre may use of this one's own from now on.
 
         Parameters
@@ -197,18 +195,18 @@
         """
         borrower = question.borrower
         if borrower not in self._unsure_until:
-            return LoanAnswer(0.0, 0.0)
+            return LoanReply(0.0, 0.0)
         if not self._is_handed_over(question, now):
-            return LoanAnswer(0.0, self._held.get(borrower, Loan()).left(now))
+            return LoanReply(0.0, self._held.get(borrower, Loan()).left(now))
         self._note_held(borrower, question.held, now)
         lent = self._lent.get(borrower, Loan()).left(now)
         if question.more:
             lent += max(0.0, min(self._most_to_one - lent, unused))
         if lent:
             self._lent[borrower] = Loan(lent, now + LOAN_S + self._span_s)
-        return LoanAnswer(lent, self._held.get(borrower, Loan()).left(now))
+        return LoanReply(lent, self._held.get(borrower, Loan()).left(now))
 
-    def _is_handed_over(self, question: LoanQuestion, now: float) -> bool:
+    def _is_handed_over(self, question: LoanRequest, now: float) -> bool:
         """Return whether the asking keeper, and no other of its data centre, holds the loan."""
         last = self._asked_by.get(question.borrower)
         is_other = last is not None and last.keeper != question.keeper
--- a/wharftiller/core/sessions/allowances/token_allocator.py
+++ b/wharftiller/core/sessions/allowances/token_allocator.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable, Sequence
 
     from wharftiller.core.sessions.allowances.bounds import AllowanceBounds
-    from wharftiller.core.sessions.allowances.shares import LoanAnswer, LoanQuestion
+    from wharftiller.core.sessions.allowances.shares import LoanReply, LoanRequest
     from wharftiller.core.sessions.workspaces import Allowance, Workspace
 
 FIRST_TOKENS = 3.0
@@ -27,7 +27,7 @@
 HISTORY_S = 10.0
 """For how long lists of boxes are remembered, in seconds: longer than any bucket takes to fill."""
 
-STAND_IN_PART = 0.1
+STANDBY_FRACTION = 0.1
 """Part of its data centre's own that a box grants in place of a keeper that may live.
 
 A keeper that is slow or cut off from some boxes goes on granting to the others, so both together
@@ -42,12 +42,12 @@
 """Time after which an unused bucket is forgotten, in seconds: longer than a loan counts as lent."""
 
 
-def keeper_order(workspace: str, names: Iterable[str]) -> list[str]:
+def token_server_order(workspace: str, names: Iterable[str]) -> list[str]:
     """Return one data centre's boxes, the workspace's keeper first."""
     return ranked(f"allowance {workspace}", names)
 
 
-class KeeperHistory:
+class TokenServerHistory:
     """Since when this box has been the keeper of each workspace, by the lists of boxes it had."""
 
     def __init__(self, box: str) -> None:
@@ -77,14 +77,14 @@
     def before(self, workspace: str) -> list[str]:
         """Return the listed boxes that come before this one in the workspace's order."""
         names = self._lists[-1][1] if self._lists else ()
-        order = keeper_order(workspace, {*names, self._box})
+        order = token_server_order(workspace, {*names, self._box})
         return order[: order.index(self._box)]
 
     def since(self, workspace: str) -> float | None:
         """Return since when it has kept ``workspace``'s bucket; None if it does not."""
         kept: float | None = None
         for since, names in reversed(self._lists):
-            if self._box not in names or keeper_order(workspace, names)[0] != self._box:
+            if self._box not in names or token_server_order(workspace, names)[0] != self._box:
                 break
             kept = since
         return kept
@@ -107,7 +107,7 @@
 
 
 @attrs.define
-class _Kept:
+class _ServedBucket:
     """A bucket and its share, and at which change of the list its keeper was looked at last.
 
     Attributes
@@ -131,7 +131,7 @@
     asked_at: float
 
 
-class AllowanceKeeper:
+class TokenAllocator:
     """The buckets that one box keeps.
 
     Parameters
@@ -145,7 +145,7 @@
     def __init__(
         self,
         bounds: AllowanceBounds,
-        history: KeeperHistory,
+        history: TokenServerHistory,
         centre: str = "",
         others: Iterable[str] = (),
     ) -> None:
@@ -153,7 +153,7 @@
         self._history = history
         self._centre = centre
         self._others = tuple(others)
-        self._kept: dict[str, _Kept] = {}
+        self._kept: dict[str, _ServedBucket] = {}
         self._lives: dict[str, _Lives] = {}
 
     def __len__(self) -> int:
@@ -174,7 +174,7 @@
         tokens = bucket.take(wanted, now)
         return Grant(tokens, 0.0 if tokens else bucket.next_in_s(now))
 
-    def _look_up(self, name: str, allowance: Allowance, now: float) -> _Kept:
+    def _look_up(self, name: str, allowance: Allowance, now: float) -> _ServedBucket:
         """Return what is kept of a workspace, by its present allowance and loans."""
         kept = self._kept.get(name)
         changes = self._history.changes
@@ -188,20 +188,20 @@
         kept.share.resize(own_share(allowance, self._bounds))
         amount = kept.share.amount(now)
         if not kept.is_keeper and self._stands_beside(name, now):
-            amount = min(amount, STAND_IN_PART * own_share(allowance, self._bounds))
+            amount = min(amount, STANDBY_FRACTION * own_share(allowance, self._bounds))
         size = bucket_size(allowance, amount, self._bounds)
         if size != kept.bucket.size:
             kept.bucket.resize(size, now)
         return kept
 
-    def _take_over(self, allowance: Allowance, since: float | None, now: float) -> _Kept:
+    def _take_over(self, allowance: Allowance, since: float | None, now: float) -> _ServedBucket:
         """Return a new keeper's bucket; it fills from when its box became the keeper."""
         from_at = now if since is None else since
         span_s = self._bounds.window_s + TOKEN_LIFE_S
         share = AllowanceShare(own_share(allowance, self._bounds), self._others, from_at, span_s)
         size = bucket_size(allowance, share.amount(now), self._bounds)
         bucket = TokenBucket(size, min(FIRST_TOKENS, size.burst), from_at)
-        return _Kept(bucket, share, since is not None, self._history.changes, now)
+        return _ServedBucket(bucket, share, since is not None, self._history.changes, now)
 
     def before(self, workspace: str) -> list[str]:
         """Return the boxes that keep the workspace's bucket rather than this one."""
@@ -239,9 +239,7 @@
 
     # Loans between data centres -------------------------------------------------
 
-    def questions(
-        self, workspace: Workspace, is_short: bool, now: float
-    ) -> dict[str, LoanQuestion]:
+    def questions(self, workspace: Workspace, is_short: bool, now: float) -> dict[str, LoanRequest]:
         """Return what to ask the keepers of other data centres now, if anything.
 
         Parameters
@@ -258,14 +256,14 @@
         return kept.share.questions(self._centre, self._history.box, is_short, now)
 
     def take_loan(
-        self, workspace: Workspace, lender: str, answer: LoanAnswer, asked_at: float, now: float
+        self, workspace: Workspace, lender: str, answer: LoanReply, asked_at: float, now: float
     ) -> None:
         """Take in what the keeper of the data centre ``lender`` answered."""
         if workspace.allowance is not None:
             kept = self._look_up(workspace.name, workspace.allowance, now)
             kept.share.take(lender, answer, asked_at, now)
 
-    def lend(self, workspace: Workspace, question: LoanQuestion, now: float) -> LoanAnswer | None:
+    def lend(self, workspace: Workspace, question: LoanRequest, now: float) -> LoanReply | None:
         """Answer another data centre's keeper; None if this box is not the keeper here."""
         if workspace.allowance is None:
             return None
--- a/wharftiller/daemons/sessions/allowances/rate_limiter.py
+++ b/wharftiller/daemons/sessions/allowances/rate_limiter.py
@@ -9,31 +9,31 @@
 
 from wharftiller.core.errors import ExchangeError
 from wharftiller.core.sessions.allowances import (
-    HELD_S,
+    PREFETCH_S,
     TOKEN_LIFE_S,
-    HeldTokens,
-    keeper_order,
+    PrefetchedTokens,
+    token_server_order,
 )
 from wharftiller.core.sessions.retry_after import SOON_S, Cause
 from wharftiller.daemons.sessions.serving.routed import NoTokenError
-from wharftiller.edges.allowances_json import TokenQuestion
+from wharftiller.edges.allowances_json import TokenRequest
 
 if TYPE_CHECKING:
     from wharftiller.core.sessions.allowances import Grant
     from wharftiller.core.sessions.workspaces import Workspace
-    from wharftiller.daemons.sessions.allowances.token_client import KeeperLinks
-    from wharftiller.daemons.sessions.allowances.token_server import KeeperDesk
+    from wharftiller.daemons.sessions.allowances.token_client import TokenClient
+    from wharftiller.daemons.sessions.allowances.token_server import TokenServer
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
-KEEPERS_ASKED = 3
+TOKEN_SERVERS_TRIED = 3
 """Boxes asked one after the other before an operation is refused."""
 
 SILENT_S = 1.0
 """Time for which a keeper that did not answer is passed over, in seconds."""
 
 
-USED_WITHIN_S = TOKEN_LIFE_S - HELD_S
+USED_WITHIN_S = TOKEN_LIFE_S - PREFETCH_S
 """Time from taking a token until its operation must be sent, in seconds; keepers count on it."""
 
 
@@ -61,23 +61,23 @@
         self.may_have_run = False
 
 
-class AllowanceGate:
+class RateLimiter:
     """Admits the operations that one box runs.
 
     Parameters
     ----------
-    desk : KeeperDesk
+    desk : TokenServer
         Grants where this box is the keeper itself.
     """
 
     def __init__(
-        self, state: SharedState, directory: BoxDirectory, links: KeeperLinks, desk: KeeperDesk
+        self, state: SharedState, directory: BoxDirectory, links: TokenClient, desk: TokenServer
     ) -> None:
         self._state = state
         self._directory = directory
         self._links = links
         self._desk = desk
-        self._held: dict[str, HeldTokens] = {}
+        self._held: dict[str, PrefetchedTokens] = {}
         self._silent_until: dict[str, float] = {}
 
     async def admit(self, workspace: Workspace | None) -> Admission:
@@ -121,7 +121,7 @@
         admission.holds_token = False
         if workspace is None or workspace.allowance is None:
             return
-        held = self._held.setdefault(workspace.name, HeldTokens())
+        held = self._held.setdefault(workspace.name, PrefetchedTokens())
         if held.use(admission.taken_at):
             admission.holds_token = True
             return
@@ -144,7 +144,7 @@
         if workspace is not None and admission.holds_token and not admission.may_have_run:
             self._held[workspace.name].give_back(trio.current_time())
 
-    async def _ask(self, workspace: Workspace, held: HeldTokens) -> Grant:
+    async def _ask(self, workspace: Workspace, held: PrefetchedTokens) -> Grant:
         """Take in and return what the workspace's keeper in this data centre grants.
 
         Raises
@@ -154,10 +154,10 @@
         """
         now = trio.current_time()
         wanted = held.wanted(now)
-        order = keeper_order(workspace.name, self._directory.list.near)
+        order = token_server_order(workspace.name, self._directory.list.near)
         able = [each for each in order if self._silent_until.get(each, now) <= now]
-        for keeper in able[:KEEPERS_ASKED]:
-            question = TokenQuestion(workspace, wanted, held.lapsed(keeper, now))
+        for keeper in able[:TOKEN_SERVERS_TRIED]:
+            question = TokenRequest(workspace, wanted, held.lapsed(keeper, now))
             try:
                 grant = await self._ask_one(keeper, question)
             except (ExchangeError, KeyError) as error:
@@ -173,7 +173,7 @@
             SOON_S,
         )
 
-    async def _ask_one(self, keeper: str, question: TokenQuestion) -> Grant:
+    async def _ask_one(self, keeper: str, question: TokenRequest) -> Grant:
         if keeper == self._state.box:
             return await self._desk.grant(question)
         return await self._links.ask_tokens(self._directory.boxes[keeper], question)
--- a/wharftiller/daemons/sessions/allowances/token_client.py
+++ b/wharftiller/daemons/sessions/allowances/token_client.py
@@ -8,16 +8,16 @@
 
 from wharftiller.core.errors import ExchangeError
 from wharftiller.edges.allowances_json import (
-    TokenQuestion,
+    TokenRequest,
     grant_from_json,
-    loan_answer_from_json,
-    loan_question_to_json,
-    token_question_to_json,
+    loan_reply_from_json,
+    loan_request_to_json,
+    token_request_to_json,
 )
 from wharftiller.edges.http_client import HttpPool
 
 if TYPE_CHECKING:
-    from wharftiller.core.sessions.allowances import Grant, LoanAnswer, LoanQuestion
+    from wharftiller.core.sessions.allowances import Grant, LoanReply, LoanRequest
     from wharftiller.core.sessions.workspaces import Workspace
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.edges.transport import Transport
@@ -34,14 +34,14 @@
 tokens waits twice as long."""
 
 
-class KeeperLinks:
+class TokenClient:
     """Connections of one box to keepers."""
 
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
         self._pools: dict[str, HttpPool] = {}
 
-    async def ask_tokens(self, keeper: Box, question: TokenQuestion) -> Grant:
+    async def ask_tokens(self, keeper: Box, question: TokenRequest) -> Grant:
         """Return what ``keeper`` grants.
 
         Raises
@@ -49,12 +49,12 @@
         ExchangeError
             If it does not answer in time.
         """
-        body = token_question_to_json(question)
+        body = token_request_to_json(question)
         return grant_from_json(await self._post(keeper, TOKENS_PATH, body, TOKENS_TIMEOUT_S))
 
     async def ask_loan(
-        self, keeper: Box, workspace: Workspace, question: LoanQuestion
-    ) -> LoanAnswer | None:
+        self, keeper: Box, workspace: Workspace, question: LoanRequest
+    ) -> LoanReply | None:
         """Return what ``keeper`` lends; None if it is not the keeper by its own list.
 
         Raises
@@ -62,8 +62,8 @@
         ExchangeError
             If it does not answer in time.
         """
-        body = loan_question_to_json(workspace, question)
-        return loan_answer_from_json(await self._post(keeper, LOAN_PATH, body, LOAN_TIMEOUT_S))
+        body = loan_request_to_json(workspace, question)
+        return loan_reply_from_json(await self._post(keeper, LOAN_PATH, body, LOAN_TIMEOUT_S))
 
     async def _post(self, keeper: Box, path: str, body: Any, timeout_s: float) -> Any:
         pool = self._pools.get(keeper.address)
--- a/wharftiller/daemons/sessions/allowances/token_server.py
+++ b/wharftiller/daemons/sessions/allowances/token_server.py
@@ -8,20 +8,24 @@
 import trio
 
 from wharftiller.core.errors import ExchangeError
-from wharftiller.core.sessions.allowances import AllowanceKeeper, KeeperHistory, keeper_order
+from wharftiller.core.sessions.allowances import (
+    TokenAllocator,
+    TokenServerHistory,
+    token_server_order,
+)
 from wharftiller.core.sessions.probe_outcomes import SignOfLife
 from wharftiller.edges.allowances_json import (
-    TokenQuestion,
+    TokenRequest,
     grant_to_json,
-    loan_answer_to_json,
-    loan_question_from_json,
-    token_question_from_json,
+    loan_reply_to_json,
+    loan_request_from_json,
+    token_request_from_json,
 )
 
 if TYPE_CHECKING:
-    from wharftiller.core.sessions.allowances import AllowanceBounds, Grant, LoanQuestion
+    from wharftiller.core.sessions.allowances import AllowanceBounds, Grant, LoanRequest
     from wharftiller.core.sessions.workspaces import Workspace
-    from wharftiller.daemons.sessions.allowances.token_client import KeeperLinks
+    from wharftiller.daemons.sessions.allowances.token_client import TokenClient
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.box_list import BoxList
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
@@ -44,14 +48,14 @@
 so that one which still grants to some of them is heard."""
 
 
-class KeeperDesk:
+class TokenServer:
     """The keeper's side of one box."""
 
     def __init__(
         self,
         state: SharedState,
         directory: BoxDirectory,
-        links: KeeperLinks,
+        links: TokenClient,
         bounds: AllowanceBounds,
         nursery: trio.Nursery,
     ) -> None:
@@ -59,9 +63,9 @@
         self._directory = directory
         self._links = links
         self._nursery = nursery
-        self._history = KeeperHistory(state.box)
+        self._history = TokenServerHistory(state.box)
         others = [centre for centre in bounds.centres if centre != state.data_centre]
-        self._keeper = AllowanceKeeper(bounds, self._history, state.data_centre, others)
+        self._keeper = TokenAllocator(bounds, self._history, state.data_centre, others)
         self._noted: BoxList | None = None
         self._noted_listed = False
         self._lender_silent_until: dict[str, float] = {}
@@ -72,7 +76,7 @@
         """Buckets that this box keeps."""
         return len(self._keeper)
 
-    async def grant(self, question: TokenQuestion) -> Grant:
+    async def grant(self, question: TokenRequest) -> Grant:
         """Grant tokens from this box's bucket, with what other data centres lend."""
         now = trio.current_time()
         self._note_list(now)
@@ -93,7 +97,7 @@
         )
         return grant
 
-    async def _borrow(self, workspace: Workspace, questions: dict[str, LoanQuestion]) -> None:
+    async def _borrow(self, workspace: Workspace, questions: dict[str, LoanRequest]) -> None:
         """Ask the keepers of other data centres for what they do not use."""
         elsewhere = self._directory.list.elsewhere
         now = trio.current_time()
@@ -102,12 +106,12 @@
                 names = elsewhere.get(centre)
                 if not names:
                     continue
-                keeper = self._directory.boxes[keeper_order(workspace.name, names)[0]]
+                keeper = self._directory.boxes[token_server_order(workspace.name, names)[0]]
                 if self._lender_silent_until.get(keeper.name, now) <= now:
                     nursery.start_soon(self._borrow_from, keeper, centre, workspace, question)
 
     async def _borrow_from(
-        self, keeper: Box, centre: str, workspace: Workspace, question: LoanQuestion
+        self, keeper: Box, centre: str, workspace: Workspace, question: LoanRequest
     ) -> None:
         asked_at = trio.current_time()
         try:
@@ -133,16 +137,16 @@
         if sign is not SignOfLife.ANSWERED:
             self._state.log.event("keeper_replaced", other=box.name, sign=sign.value)
 
-    async def answer_tokens(self, question: Any) -> dict[str, Any]:
+    async def handle_token_request(self, question: Any) -> dict[str, Any]:
         """Grant another box's question; raises `BadRequestError` if it is none."""
-        return grant_to_json(await self.grant(token_question_from_json(question)))
+        return grant_to_json(await self.grant(token_request_from_json(question)))
 
-    def answer_loan(self, question: Any) -> dict[str, Any]:
+    def handle_loan_request(self, question: Any) -> dict[str, Any]:
         """Answer another data centre's keeper; raises `BadRequestError` if it asks nothing."""
-        workspace, asked = loan_question_from_json(question)
+        workspace, asked = loan_request_from_json(question)
         now = trio.current_time()
         self._note_list(now)
-        return loan_answer_to_json(self._keeper.lend(self._known(workspace), asked, now))
+        return loan_reply_to_json(self._keeper.lend(self._known(workspace), asked, now))
 
     def _known(self, told: Workspace) -> Workspace:
         """Return a workspace as this box's configuration has it, or as it was told."""
--- a/wharftiller/daemons/sessions/forwarding/executor.py
+++ b/wharftiller/daemons/sessions/forwarding/executor.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from wharftiller.core.sessions.statements import Reply
-    from wharftiller.daemons.sessions.allowances.rate_limiter import AllowanceGate
+    from wharftiller.daemons.sessions.allowances.rate_limiter import RateLimiter
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.edges.forwarded_json import ForwardedStatement
 
@@ -49,7 +49,7 @@
 class ForwardedExecutor:
     """Runs other boxes' statements and holds their open transactions."""
 
-    def __init__(self, state: SharedState, gate: AllowanceGate) -> None:
+    def __init__(self, state: SharedState, gate: RateLimiter) -> None:
         self._state = state
         self._runner = StatementRunner(state, gate)
         self._held: dict[str, _Held] = {}
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -18,7 +18,7 @@
     Answer = Callable[[Any], Awaitable[dict[str, Any]]]
 
     from wharftiller.core.leadership.record import LeadershipRecord
-    from wharftiller.daemons.sessions.allowances.token_server import KeeperDesk
+    from wharftiller.daemons.sessions.allowances.token_server import TokenServer
     from wharftiller.daemons.sessions.forwarding.executor import ForwardedExecutor
     from wharftiller.daemons.sessions.forwarding.gateway_client import GatewayClient
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
@@ -68,7 +68,7 @@
         known: Callable[[Any], dict[str, Any]],
         check: Callable[[list[str]], Awaitable[None]],
         desk_for_others: ForwardedExecutor,
-        keeper_desk: KeeperDesk,
+        keeper_desk: TokenServer,
         links: GatewayClient,
         grace_s: float,
     ) -> None:
@@ -87,8 +87,8 @@
             ("POST", "/peer/alive"): _at_once(lambda _: {}),
             ("POST", "/peer/run"): desk_for_others.run,
             ("POST", "/peer/end"): _at_once(desk_for_others.end),
-            ("POST", TOKENS_PATH): keeper_desk.answer_tokens,
-            ("POST", LOAN_PATH): _at_once(keeper_desk.answer_loan),
+            ("POST", TOKENS_PATH): keeper_desk.handle_token_request,
+            ("POST", LOAN_PATH): _at_once(keeper_desk.handle_loan_request),
             ("POST", "/peer/leaving"): self._leaving,
             ("POST", KNOWN_PATH): _at_once(known),
         }
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -10,9 +10,9 @@
 
 from wharftiller.core.errors import PlatformUnavailableError, UnknownPathError
 from wharftiller.core.leadership.read_schedule import ReadPace
-from wharftiller.daemons.sessions.allowances.rate_limiter import AllowanceGate
-from wharftiller.daemons.sessions.allowances.token_client import KeeperLinks
-from wharftiller.daemons.sessions.allowances.token_server import KeeperDesk
+from wharftiller.daemons.sessions.allowances.rate_limiter import RateLimiter
+from wharftiller.daemons.sessions.allowances.token_client import TokenClient
+from wharftiller.daemons.sessions.allowances.token_server import TokenServer
 from wharftiller.daemons.sessions.connections.pool import MAINTENANCE_S
 from wharftiller.daemons.sessions.connections.probes import Prober
 from wharftiller.daemons.sessions.connections.relay import RelayServer
@@ -132,11 +132,11 @@
         self._gateways = Gateways(self.state, self._directory)
         self._links = GatewayClient(self.state, self._gateways, self._directory, transport, nursery)
         forwarder = Forwarder(self.state, self._gateways, self._directory, self._links, nursery)
-        keeper_links = KeeperLinks(transport)
-        self._keeper_desk = KeeperDesk(
+        keeper_links = TokenClient(transport)
+        self._keeper_desk = TokenServer(
             self.state, self._directory, keeper_links, identity.bounds.allowances, nursery
         )
-        gate = AllowanceGate(self.state, self._directory, keeper_links, self._keeper_desk)
+        gate = RateLimiter(self.state, self._directory, keeper_links, self._keeper_desk)
         self._runner = StatementRunner(self.state, gate, forwarder)
         self.door = CallerDoor(self.state, limits, open_streams)
         self.sessions = SessionServer(self.state, self._runner, self.door)
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -30,7 +30,7 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import Session
     from wharftiller.core.sessions.statements import Statement
-    from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, AllowanceGate
+    from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, RateLimiter
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
     from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
     from wharftiller.daemons.sessions.serving.read_timeouts import ReadPatience
@@ -47,7 +47,7 @@
     def __init__(
         self,
         state: SharedState,
-        gate: AllowanceGate,
+        gate: RateLimiter,
         chooser: EndpointChooser,
         patience: ReadPatience,
     ) -> None:
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -28,7 +28,7 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import OpenTransaction, Session
     from wharftiller.core.sessions.statements import Statement
-    from wharftiller.daemons.sessions.allowances.rate_limiter import AllowanceGate
+    from wharftiller.daemons.sessions.allowances.rate_limiter import RateLimiter
     from wharftiller.daemons.sessions.forwarding.forwarder import Forwarder
     from wharftiller.daemons.sessions.state import SharedState
 
@@ -38,14 +38,14 @@
 
     Parameters
     ----------
-    gate : AllowanceGate
+    gate : RateLimiter
         Admits operations that are run here.
     forwarder : Forwarder or None
         Passes statements to other boxes; without one all are run here.
     """
 
     def __init__(
-        self, state: SharedState, gate: AllowanceGate, forwarder: Forwarder | None = None
+        self, state: SharedState, gate: RateLimiter, forwarder: Forwarder | None = None
     ) -> None:
         self._state = state
         self._forwarder = forwarder
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -32,7 +32,7 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.session import Session
     from wharftiller.core.sessions.statements import Statement
-    from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, AllowanceGate
+    from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, RateLimiter
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
     from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
     from wharftiller.daemons.sessions.serving.routed import RoutedStatement
@@ -42,7 +42,7 @@
 class TransactionRunner:
     """Runs the statements of transactions of every session of this box."""
 
-    def __init__(self, state: SharedState, gate: AllowanceGate, chooser: EndpointChooser) -> None:
+    def __init__(self, state: SharedState, gate: RateLimiter, chooser: EndpointChooser) -> None:
         self._state = state
         self._gate = gate
         self._chooser = chooser
--- a/wharftiller/edges/allowances_json.py
+++ b/wharftiller/edges/allowances_json.py
@@ -7,7 +7,7 @@
 import attrs
 
 from wharftiller.core.errors import BadRequestError, ExchangeError
-from wharftiller.core.sessions.allowances import MOST_HELD, Grant, LoanAnswer, LoanQuestion
+from wharftiller.core.sessions.allowances import MAX_PREFETCHED, Grant, LoanReply, LoanRequest
 from wharftiller.core.sessions.workspaces import Workspace
 from wharftiller.edges.forwarded_json import workspace_from_json, workspace_to_json
 
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class TokenQuestion:
+class TokenRequest:
     """A box asks a workspace's keeper for tokens.
 
     Attributes
@@ -32,7 +32,7 @@
     unused: int
 
 
-def token_question_to_json(question: TokenQuestion) -> dict[str, Any]:
+def token_request_to_json(question: TokenRequest) -> dict[str, Any]:
     """Return a question for tokens as JSON."""
     return {
         "workspace": workspace_to_json(question.workspace),
@@ -41,7 +41,7 @@
     }
 
 
-def token_question_from_json(value: Any) -> TokenQuestion:
+def token_request_from_json(value: Any) -> TokenRequest:
     """Return the question for tokens that ``value`` holds.
 
     Raises
@@ -56,7 +56,7 @@
         raise BadRequestError(f"no tokens are asked for: {error!r}; run one version") from None
     if workspace is None or wanted < 1 or unused < 0:
         raise BadRequestError("a question for tokens names a workspace and how many it wants")
-    return TokenQuestion(workspace, min(wanted, MOST_HELD), min(unused, MOST_HELD))
+    return TokenRequest(workspace, min(wanted, MAX_PREFETCHED), min(unused, MAX_PREFETCHED))
 
 
 def grant_to_json(grant: Grant) -> dict[str, Any]:
@@ -78,12 +78,12 @@
         raise ExchangeError(f"the keeper granted nonsense: {error!r}") from None
 
 
-def loan_question_to_json(workspace: Workspace, question: LoanQuestion) -> dict[str, Any]:
+def loan_request_to_json(workspace: Workspace, question: LoanRequest) -> dict[str, Any]:
     """Return a question for a loan of ``workspace``'s allowance as JSON."""
     return {"workspace": workspace_to_json(workspace), **attrs.asdict(question)}
 
 
-def loan_question_from_json(value: Any) -> tuple[Workspace, LoanQuestion]:
+def loan_request_from_json(value: Any) -> tuple[Workspace, LoanRequest]:
     """Return the workspace and the question for a loan that ``value`` holds.
 
     Raises
@@ -94,7 +94,7 @@
     try:
         workspace = workspace_from_json(value["workspace"])
         held = float(value["held"])
-        question = LoanQuestion(
+        question = LoanRequest(
             str(value["borrower"]), str(value["keeper"]), held, value["more"] is True
         )
     except (KeyError, TypeError, ValueError) as error:
@@ -104,12 +104,12 @@
     return workspace, question
 
 
-def loan_answer_to_json(answer: LoanAnswer | None) -> dict[str, Any]:
+def loan_reply_to_json(answer: LoanReply | None) -> dict[str, Any]:
     """Return a keeper's answer as JSON; empty where the box asked is not the keeper."""
     return {} if answer is None else attrs.asdict(answer)
 
 
-def loan_answer_from_json(value: Any) -> LoanAnswer | None:
+def loan_reply_from_json(value: Any) -> LoanReply | None:
     """Return what was lent; None if the box that was asked is not the keeper.
 
     Raises
@@ -118,6 +118,6 @@
         If it is no answer.
     """
     try:
-        return LoanAnswer(float(value["lent"]), float(value["held"])) if value else None
+        return LoanReply(float(value["lent"]), float(value["held"])) if value else None
     except (KeyError, TypeError, ValueError) as error:
         raise ExchangeError(f"the keeper lent nonsense: {error!r}") from None
--- a/wharftiller/tests/core/sessions/allowances/histories.py
+++ b/wharftiller/tests/core/sessions/allowances/histories.py
@@ -15,14 +15,14 @@
 
 from wharftiller.core.sessions.allowances import (
     AllowanceBounds,
-    AllowanceKeeper,
     Grant,
-    HeldTokens,
-    KeeperHistory,
-    keeper_order,
+    PrefetchedTokens,
+    TokenAllocator,
+    TokenServerHistory,
+    token_server_order,
 )
-from wharftiller.core.sessions.allowances.buckets import HELD_S
-from wharftiller.core.sessions.allowances.shares import LoanQuestion
+from wharftiller.core.sessions.allowances.buckets import PREFETCH_S
+from wharftiller.core.sessions.allowances.shares import LoanRequest
 from wharftiller.core.sessions.probe_outcomes import SignOfLife
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
 
@@ -61,10 +61,10 @@
     """One process of one box, with its own view of the list."""
 
     name: str
-    keeper: AllowanceKeeper
-    history: KeeperHistory
+    keeper: TokenAllocator
+    history: TokenServerHistory
     lag_s: float
-    held: HeldTokens = attrs.field(factory=HeldTokens)
+    held: PrefetchedTokens = attrs.field(factory=PrefetchedTokens)
     silent_until: dict[str, float] = attrs.field(factory=dict)
 
 
@@ -163,7 +163,7 @@
     # Boxes ----------------------------------------------------------------
 
     def _start(self, centre: int, name: str) -> None:
-        history = KeeperHistory(name)
+        history = TokenServerHistory(name)
         process = Process(
             name,
             self._new_keeper(centre, history),
@@ -173,9 +173,9 @@
         self._live[centre][name] = process
         self._note_list(centre)
 
-    def _new_keeper(self, centre: int, history: KeeperHistory) -> AllowanceKeeper:
+    def _new_keeper(self, centre: int, history: TokenServerHistory) -> TokenAllocator:
         others = [each for each in CENTRES if each != str(centre)]
-        return AllowanceKeeper(self.bounds, history, str(centre), others)
+        return TokenAllocator(self.bounds, history, str(centre), others)
 
     def _note_list(self, centre: int) -> None:
         if SLOW_AT_S <= self._now < SLOW_AT_S + self._story.kept_lists_s:
@@ -239,7 +239,7 @@
     def _granted(self, centre: int, process: Process) -> bool:
         wanted = process.held.wanted(self._now)
         known = {*self._view(centre, process), process.name}
-        for name in keeper_order("rila", known):
+        for name in token_server_order("rila", known):
             keeper = self._live[centre].get(name)
             if keeper is None or process.silent_until.get(name, 0.0) > self._now:
                 continue
@@ -273,7 +273,7 @@
     def _is_slow(self, centre: int, name: str) -> bool:
         if not SLOW_AT_S <= self._now < SLOW_AT_S + self._story.slow_s:
             return False
-        return name == keeper_order("rila", [f"box-{centre}-{n}" for n in range(BOXES)])[0]
+        return name == token_server_order("rila", [f"box-{centre}-{n}" for n in range(BOXES)])[0]
 
     def _drawn(self, part: float) -> bool:
         return self._draw.random() < part
@@ -287,12 +287,12 @@
             self._ask_loan(centre, keeper, int(name), question)
         return bool(questions)
 
-    def _ask_loan(self, centre: int, keeper: Process, other: int, question: LoanQuestion) -> None:
+    def _ask_loan(self, centre: int, keeper: Process, other: int, question: LoanRequest) -> None:
         if self._is_cut(centre, other) or self._draw.random() < self._story.lost / 2:
             return
         lag_s = self._draw.uniform(0, self._story.list_lag_s)
         listed = [names for at, names in self._lists[other] if at <= self._now - lag_s]
-        name = keeper_order("rila", listed[-1])[0] if listed and listed[-1] else ""
+        name = token_server_order("rila", listed[-1])[0] if listed and listed[-1] else ""
         lender = self._live[other].get(name)
         if lender is None:
             return
@@ -311,4 +311,4 @@
 
 def longest_use_s() -> float:
     """Return how late after its grant a token may be used in a history, in seconds."""
-    return HELD_S + USED_LATE_S
+    return PREFETCH_S + USED_LATE_S
--- a/wharftiller/tests/core/sessions/allowances/test_shares.py
+++ b/wharftiller/tests/core/sessions/allowances/test_shares.py
@@ -10,8 +10,8 @@
     LENDABLE_PART,
     LOAN_S,
     AllowanceShare,
-    LoanAnswer,
-    LoanQuestion,
+    LoanReply,
+    LoanRequest,
 )
 
 OWN = 100.0
@@ -23,8 +23,8 @@
     return AllowanceShare(OWN, others, since, SPAN_S)
 
 
-def asked(held: float = 0.0, more: bool = True, keeper: str = "box-b") -> LoanQuestion:
-    return LoanQuestion("b", keeper, held, more)
+def asked(held: float = 0.0, more: bool = True, keeper: str = "box-b") -> LoanRequest:
+    return LoanRequest("b", keeper, held, more)
 
 
 class TestLending:
@@ -71,8 +71,8 @@
         assert lender.lend(other, unused=0.0, now=HANDED_OVER_S).lent == 30.0
 
     def test_a_data_centre_nobody_knows_gets_nothing(self) -> None:
-        question = LoanQuestion("z", "box-z", 5.0, True)
-        assert share().lend(question, unused=30.0, now=0.0) == LoanAnswer(0.0, 0.0)
+        question = LoanRequest("z", "box-z", 5.0, True)
+        assert share().lend(question, unused=30.0, now=0.0) == LoanReply(0.0, 0.0)
 
 
 class TestTakingOver:
@@ -81,8 +81,8 @@
 
     def test_the_others_answers_settle_it(self) -> None:
         keeper = share(since=0.0)
-        keeper.take("b", LoanAnswer(0.0, held=12.0), asked_at=1.0, now=1.0)
-        keeper.take("c", LoanAnswer(0.0, held=0.0), asked_at=1.0, now=1.0)
+        keeper.take("b", LoanReply(0.0, held=12.0), asked_at=1.0, now=1.0)
+        keeper.take("c", LoanReply(0.0, held=0.0), asked_at=1.0, now=1.0)
         assert keeper.amount(1.0) == OWN - 12.0
 
     def test_a_question_settles_it_too(self) -> None:
@@ -105,7 +105,7 @@
     def test_a_loan_is_renewed_before_it_ends(self) -> None:
         keeper = share()
         assert not keeper.wants(False, 0.0)
-        keeper.take("b", LoanAnswer(5.0, 0.0), asked_at=0.0, now=0.0)
+        keeper.take("b", LoanReply(5.0, 0.0), asked_at=0.0, now=0.0)
         assert not keeper.wants(False, 1.0)
         assert keeper.wants(False, LOAN_S * 0.75)
 
--- a/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
+++ b/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
@@ -7,10 +7,10 @@
 import wharftiller.core.sessions.allowances.bounds as rules
 from wharftiller.core.sessions.allowances import (
     AllowanceBounds,
-    AllowanceKeeper,
-    HeldTokens,
-    KeeperHistory,
-    keeper_order,
+    PrefetchedTokens,
+    TokenAllocator,
+    TokenServerHistory,
+    token_server_order,
 )
 from wharftiller.core.sessions.allowances.bounds import (
     LEAST_BURST,
@@ -24,7 +24,7 @@
 from wharftiller.core.sessions.allowances.token_allocator import (
     FIRST_TOKENS,
     SILENCE_S,
-    STAND_IN_PART,
+    STANDBY_FRACTION,
 )
 from wharftiller.core.sessions.probe_outcomes import SignOfLife
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
@@ -123,7 +123,7 @@
     def test_granting_in_full_beside_a_slow_keeper_goes_over(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(AllowanceKeeper, "_stands_beside", lambda *_: False)
+        monkeypatch.setattr(TokenAllocator, "_stands_beside", lambda *_: False)
         assert worst_of(SLOW_KEEPERS) > 1.0
 
 
@@ -146,7 +146,7 @@
         assert bucket_size(slow, own_share(slow, BOUNDS), BOUNDS).rate_per_s <= 0.5
 
     def test_a_rate_beyond_any_load_is_no_trouble(self) -> None:
-        keeper = AllowanceKeeper(BOUNDS, KeeperHistory("one"))
+        keeper = TokenAllocator(BOUNDS, TokenServerHistory("one"))
         vast = Workspace("rila", Allowance(1e9, 1e9))
         keeper.grant(vast, 8, 0, 0.0)
         assert keeper.grant(vast, 8, 0, 1.0).tokens == 8
@@ -175,7 +175,7 @@
 
 class TestKeepers:
     def test_a_lower_limit_binds_at_once(self) -> None:
-        keeper = AllowanceKeeper(BOUNDS, KeeperHistory("one"))
+        keeper = TokenAllocator(BOUNDS, TokenServerHistory("one"))
         keeper._history.note(("one",), -20.0)
         assert keeper.grant(Workspace("rila", LARGE), 8, 0, 0.0).tokens == 8
         low = Workspace("rila", Allowance(1.0, 1.0))
@@ -183,17 +183,17 @@
         assert keeper.grant(low, 8, 0, 0.0).tokens <= burst
 
     def test_who_took_over_long_ago_has_a_full_bucket_at_the_first_question(self) -> None:
-        history = KeeperHistory("one")
+        history = TokenServerHistory("one")
         history.note(("one",), 0.0)
         size = bucket_size(LARGE, own_share(LARGE, BOUNDS), BOUNDS)
-        granted = AllowanceKeeper(BOUNDS, history).grant(Workspace("rila", LARGE), 100, 0, 60.0)
+        granted = TokenAllocator(BOUNDS, history).grant(Workspace("rila", LARGE), 100, 0, 60.0)
         assert granted.tokens == int(size.burst)
 
     def test_who_lost_its_place_meanwhile_starts_again(self) -> None:
         names = ("one", "two")
-        first, second = keeper_order("rila", names)
-        history = KeeperHistory(second)
-        keeper = AllowanceKeeper(BOUNDS, history)
+        first, second = token_server_order("rila", names)
+        history = TokenServerHistory(second)
+        keeper = TokenAllocator(BOUNDS, history)
         history.note((second,), -20.0)
         rila = Workspace("rila", LARGE)
         keeper.grant(rila, 1, 0, 0.0)
@@ -202,7 +202,7 @@
         assert keeper.grant(rila, 100, 0, 2.0).tokens <= FIRST_TOKENS
 
     def test_buckets_nobody_asks_for_are_forgotten(self) -> None:
-        keeper = AllowanceKeeper(BOUNDS, KeeperHistory("one"))
+        keeper = TokenAllocator(BOUNDS, TokenServerHistory("one"))
         for number in range(100):
             keeper.grant(Workspace(f"w{number}", SMALL), 1, 0, 0.0)
         keeper.forget_idle(60.0)
@@ -212,15 +212,15 @@
 class TestStandingIn:
     """The second box of a data centre is asked for tokens in place of the first."""
 
-    FIRST, SECOND = keeper_order("rila", ("one", "two"))
+    FIRST, SECOND = token_server_order("rila", ("one", "two"))
     RILA = Workspace("rila", LARGE)
 
-    def stand_in(self) -> AllowanceKeeper:
-        history = KeeperHistory(self.SECOND)
+    def stand_in(self) -> TokenAllocator:
+        history = TokenServerHistory(self.SECOND)
         history.note(("one", "two"), 0.0)
-        return AllowanceKeeper(BOUNDS, history)
+        return TokenAllocator(BOUNDS, history)
 
-    def granted(self, keeper: AllowanceKeeper, signs: SignOfLife) -> int:
+    def granted(self, keeper: TokenAllocator, signs: SignOfLife) -> int:
         """Return what it grants within a window while the first box gives ``signs``."""
         total = 0
         for tenth in range(int(BOUNDS.window_s * 10)):
@@ -231,7 +231,7 @@
     @pytest.mark.parametrize(
         ("signs", "least", "most"),
         [
-            (SignOfLife.ANSWERED, 0.05, STAND_IN_PART),
+            (SignOfLife.ANSWERED, 0.05, STANDBY_FRACTION),
             (SignOfLife.REFUSED, 0.7, 1.0),
             (SignOfLife.SILENT, 0.4, 0.8),
         ],
@@ -250,11 +250,11 @@
         assert keeper.grant(self.RILA, 100, 0, later + 60.0).tokens <= LEAST_BURST
 
     def test_a_box_that_is_not_listed_grants_little(self) -> None:
-        history = KeeperHistory("one")
+        history = TokenServerHistory("one")
         history.note((), 0.0)
-        keeper = AllowanceKeeper(BOUNDS, history)
+        keeper = TokenAllocator(BOUNDS, history)
         total = sum(keeper.grant(self.RILA, 20, 0, tenth / 10).tokens for tenth in range(50))
-        assert 0 < total <= STAND_IN_PART * own_share(LARGE, BOUNDS)
+        assert 0 < total <= STANDBY_FRACTION * own_share(LARGE, BOUNDS)
 
 
 class TestGivenBack:
@@ -268,12 +268,12 @@
         assert bucket.take(100, SPAN_S + 1.0) == 0
 
     def test_only_who_granted_them_hears_of_lapsed_tokens(self) -> None:
-        held = HeldTokens()
+        held = PrefetchedTokens()
         held.granted(5, 0.0, "one")
         assert held.lapsed("two", 2.0) == 0
 
     def test_who_granted_them_does(self) -> None:
-        held = HeldTokens()
+        held = PrefetchedTokens()
         held.granted(5, 0.0, "one")
         held.use(0.1)
         held.lapse_one()
@@ -282,13 +282,13 @@
 
 class TestHeldTokens:
     def test_tokens_lapse(self) -> None:
-        held = HeldTokens()
+        held = PrefetchedTokens()
         held.granted(3, 0.0, "one")
         assert held.use(0.1)
         assert not held.use(0.6)
 
     def test_a_busy_workspace_asks_for_several_at_once(self) -> None:
-        held = HeldTokens()
+        held = PrefetchedTokens()
         assert held.wanted(0.0) == 1
         for number in range(4):
             held.granted(1, number * 0.05, "one")
@@ -296,7 +296,7 @@
         assert held.wanted(0.2) > 4
 
     def test_what_did_not_run_is_used_by_the_next(self) -> None:
-        held = HeldTokens()
+        held = PrefetchedTokens()
         held.granted(1, 0.0, "one")
         assert held.use(0.0)
         held.give_back(0.1)
--- a/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
+++ b/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
@@ -13,7 +13,7 @@
 from wharftiller.core.sessions.allowances import Grant
 from wharftiller.core.sessions.metrics import Figures
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
-from wharftiller.daemons.sessions.allowances.rate_limiter import USED_WITHIN_S, AllowanceGate
+from wharftiller.daemons.sessions.allowances.rate_limiter import USED_WITHIN_S, RateLimiter
 from wharftiller.daemons.sessions.serving.routed import NoTokenError
 
 RILA = Workspace("rila", Allowance(10.0, 10.0))
@@ -34,12 +34,12 @@
         return Grant(1)
 
 
-def with_gate(tokens: int, story: Callable[[AllowanceGate, Desk], Awaitable[None]]) -> None:
+def with_gate(tokens: int, story: Callable[[RateLimiter, Desk], Awaitable[None]]) -> None:
     async def main() -> None:
         desk = Desk(tokens)
         state = SimpleNamespace(box="one", figures=Figures(), log=None)
         directory = SimpleNamespace(list=SimpleNamespace(near=["one"]))
-        gate = AllowanceGate(state, directory, None, desk)  # type: ignore[arg-type]
+        gate = RateLimiter(state, directory, None, desk)  # type: ignore[arg-type]
         await story(gate, desk)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -47,7 +47,7 @@
 
 class TestAdmission:
     def test_an_operation_that_is_sent_soon_takes_one_token(self) -> None:
-        async def story(gate: AllowanceGate, desk: Desk) -> None:
+        async def story(gate: RateLimiter, desk: Desk) -> None:
             admission = await gate.admit(RILA)
             await trio.sleep(USED_WITHIN_S / 2)
             await gate.about_to_run(admission)
@@ -58,7 +58,7 @@
     def test_one_that_waited_longer_than_its_token_counts_takes_another(self) -> None:
         """The route's goal may be longer than a token's life: a lookup waits 1.5 s for a place."""
 
-        async def story(gate: AllowanceGate, desk: Desk) -> None:
+        async def story(gate: RateLimiter, desk: Desk) -> None:
             admission = await gate.admit(RILA)
             await trio.sleep(USED_WITHIN_S * 3)
             await gate.about_to_run(admission)
@@ -68,7 +68,7 @@
         with_gate(5, story)
 
     def test_one_that_waited_too_long_is_refused_where_none_is_left(self) -> None:
-        async def story(gate: AllowanceGate, desk: Desk) -> None:
+        async def story(gate: RateLimiter, desk: Desk) -> None:
             admission = await gate.admit(RILA)
             await trio.sleep(USED_WITHIN_S * 3)
             with pytest.raises(NoTokenError, match="rila has no token left"):
@@ -77,7 +77,7 @@
         with_gate(1, story)
 
     def test_one_that_is_refused_gives_no_token_back(self) -> None:
-        async def story(gate: AllowanceGate, desk: Desk) -> None:
+        async def story(gate: RateLimiter, desk: Desk) -> None:
             late, other = await gate.admit(RILA), await gate.admit(RILA)
             await trio.sleep(USED_WITHIN_S * 3)
             desk.tokens = 1
@@ -91,7 +91,7 @@
         with_gate(2, story)
 
     def test_a_read_that_may_have_run_takes_another_for_the_next_endpoint(self) -> None:
-        async def story(gate: AllowanceGate, desk: Desk) -> None:
+        async def story(gate: RateLimiter, desk: Desk) -> None:
             admission = await gate.admit(RILA)
             for _ in range(3):
                 await gate.about_to_run(admission)
@@ -100,7 +100,7 @@
         with_gate(5, story)
 
     def test_one_that_an_endpoint_did_not_run_keeps_its_token(self) -> None:
-        async def story(gate: AllowanceGate, desk: Desk) -> None:
+        async def story(gate: RateLimiter, desk: Desk) -> None:
             admission = await gate.admit(RILA)
             for _ in range(3):
                 await gate.about_to_run(admission)
@@ -113,7 +113,7 @@
         with_gate(5, story)
 
     def test_one_that_ran_gives_nothing_back(self) -> None:
-        async def story(gate: AllowanceGate, desk: Desk) -> None:
+        async def story(gate: RateLimiter, desk: Desk) -> None:
             admission = await gate.admit(RILA)
             await gate.about_to_run(admission)
             gate.give_back(admission)
@@ -123,7 +123,7 @@
         with_gate(5, story)
 
     def test_without_an_allowance_nobody_is_asked(self) -> None:
-        async def story(gate: AllowanceGate, desk: Desk) -> None:
+        async def story(gate: RateLimiter, desk: Desk) -> None:
             admission = await gate.admit(Workspace("free"))
             await trio.sleep(10.0)
             await gate.about_to_run(admission)
--- a/wharftiller/tests/platform/test_allowances.py
+++ b/wharftiller/tests/platform/test_allowances.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 
-from wharftiller.core.sessions.allowances import AllowanceBounds, keeper_order
+from wharftiller.core.sessions.allowances import AllowanceBounds, token_server_order
 from wharftiller.core.sessions.bounds import PlatformBounds
 from wharftiller.core.sessions.workspaces import Allowance
 from wharftiller.daemons.sessions.allowances import rate_limiter
@@ -209,10 +209,10 @@
 
 class TestNoKeeper:
     def test_a_box_that_no_keeper_answers_says_so(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(rate_limiter, "KEEPERS_ASKED", 1)
+        monkeypatch.setattr(rate_limiter, "TOKEN_SERVERS_TRIED", 1)
 
         async def story(world: World) -> None:
-            keeper, box, _ = (world.boxes[n] for n in keeper_order("calm", DATA_CENTRE_A))
+            keeper, box, _ = (world.boxes[n] for n in token_server_order("calm", DATA_CENTRE_A))
             caller = await world.call(box, "primary", key="key-of-calm")
             assert (await caller.ask("READ seat1"))[0].startswith("ROW")
             await trio.sleep(1.0)
