--- a/wharftiller/core/leadership/failover.py
+++ b/wharftiller/core/leadership/failover.py
@@ -35,10 +35,10 @@
 within two seconds after a cut heals.
 """
 
-TURN_S = 0.4
+RANK_DELAY_S = 0.4
 """Time by which each further box leaves the first move to those before it, in seconds."""
 
-HAND_OVER_TURN_S = 0.3
+HANDOVER_RANK_DELAY_S = 0.3
 """Time by which each further box leaves a planned change to those before it, in seconds."""
 
 SEND_WINDOW_S = 2.0
@@ -84,7 +84,7 @@
     """Return whether an answering primary must hand over: it is leaving, or not listed."""
     if row.is_suspect(now) or row.leaving_since is None:
         return False
-    wait_s = turn * HAND_OVER_TURN_S
+    wait_s = turn * HANDOVER_RANK_DELAY_S
     if row.missing_since is not None:
         wait_s += max(0.0, row.entry.leaving_serves_s - LAPSED_MARGIN_S)
     return now - row.leaving_since >= wait_s
@@ -106,9 +106,9 @@
         return True
     since = row.unreachable_since
     least_s = UNREACHABLE_S if all_answer else UNREACHABLE_BEHIND_CUT_S
-    return since is not None and now - since >= least_s + turn * TURN_S
+    return since is not None and now - since >= least_s + turn * RANK_DELAY_S
 
 
-def turn_of(box: str, boxes: Iterable[str], group: str) -> int:
+def takeover_rank(box: str, boxes: Iterable[str], group: str) -> int:
     """Return how many of ``boxes`` go before ``box`` in replacing ``group``'s primary."""
     return ranked(group, {box, *boxes}).index(box)
--- a/wharftiller/core/leadership/lease.py
+++ b/wharftiller/core/leadership/lease.py
@@ -23,7 +23,7 @@
 
 import attrs
 
-from wharftiller.core.leadership.record import LeadershipRecord, Leading, Moving
+from wharftiller.core.leadership.record import FailingOver, LeadershipRecord, Leading
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -185,7 +185,7 @@
             leads = state.endpoint if isinstance(state, Leading) else state.old.endpoint
             if leads != lease.endpoint:
                 del self._leases[group]
-            elif isinstance(state, Moving) and not state.planned:
+            elif isinstance(state, FailingOver) and not state.planned:
                 lease.closing = lease.given_up = True
         return True
 
@@ -290,7 +290,7 @@
         if lease is not None and lease.endpoint == endpoint:
             lease.closing = True
 
-    def give_word(self, group: str, endpoint: str) -> None:
+    def release_lease(self, group: str, endpoint: str) -> None:
         """Stop using ``endpoint`` as ``group``'s primary, for good in this term."""
         lease = self._leases.get(group)
         if lease is not None and lease.endpoint == endpoint:
--- a/wharftiller/core/leadership/record.py
+++ b/wharftiller/core/leadership/record.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Moving:
+class FailingOver:
     """A group's primary is being replaced.
 
     Attributes
@@ -66,7 +66,7 @@
         return not (self.planned or self.ordered or self.old.is_doubted)
 
 
-GroupLeadership = Leading | Moving
+GroupLeadership = Leading | FailingOver
 
 
 @attrs.frozen
@@ -150,14 +150,16 @@
         }
 
     @property
-    def moving(self) -> dict[str, Moving]:
+    def moving(self) -> dict[str, FailingOver]:
         """The groups whose primary is being replaced."""
-        return {name: state for name, state in self.groups.items() if isinstance(state, Moving)}
+        return {
+            name: state for name, state in self.groups.items() if isinstance(state, FailingOver)
+        }
 
     def lead(self, group: str) -> str | None:
         """Return ``group``'s primary, the old one while it is being replaced; None if not known."""
         match self.groups.get(group):
-            case Leading(endpoint) | Moving(Leading(endpoint)):
+            case Leading(endpoint) | FailingOver(Leading(endpoint)):
                 return endpoint
             case _:
                 return None
--- a/wharftiller/core/leadership/verification.py
+++ b/wharftiller/core/leadership/verification.py
@@ -51,7 +51,7 @@
     sync_replicas: int = 0
 
 
-def whom_to_promote(doubted: Leading, evidence: DoubtEvidence) -> str | None:
+def choose_successor(doubted: Leading, evidence: DoubtEvidence) -> str | None:
     """Return the endpoint that leads or should, None while that cannot be told.
 
     Load: the first seconds after all boxes ended together while the platform was restored.
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -16,17 +16,17 @@
     best_candidate,
     is_lost,
     must_leave,
-    turn_of,
+    takeover_rank,
 )
-from wharftiller.core.leadership.record import Leading, Moving
+from wharftiller.core.leadership.record import FailingOver, Leading
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.failover import Candidate
     from wharftiller.core.leadership.record import LeadershipRecord
     from wharftiller.daemons.sessions.forwarding.gateways import Gateways
-    from wharftiller.daemons.sessions.leadership.failover_runner import ChangeRunner
+    from wharftiller.daemons.sessions.leadership.failover_runner import FailoverRunner
     from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
-    from wharftiller.daemons.sessions.leadership.successors import Successors
+    from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
     from wharftiller.daemons.sessions.leadership.verification import DoubtedPrimaries
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
@@ -38,7 +38,7 @@
 TAKE_OVER_LOOK_S = 1.0
 """Time between questions whether the holder of a change lives, in seconds."""
 
-FIRST_TURN_S = 0.3
+FIRST_RANK_DELAY_S = 0.3
 """Time by which each further box leaves the first record to those before it, in seconds."""
 
 FIRST_ALL_S = 2.0
@@ -50,7 +50,7 @@
 Beside a cut every home on the other side would ask all homes again every 0.15 s.
 """
 
-MOST_TURNS = 8
+MAX_RANKS = 8
 """Boxes that start a change one after the other; all further ones start together."""
 
 FAILED_PAUSE_S = 1.0
@@ -65,7 +65,7 @@
     at: float
 
 
-class PrimaryMover:
+class FailoverMonitor:
     """Watches the primaries and replaces those that are lost or leaving."""
 
     def __init__(
@@ -74,8 +74,8 @@
         directory: BoxDirectory,
         gateways: Gateways,
         writer: RecordWriter,
-        successors: Successors,
-        runner: ChangeRunner,
+        successors: SuccessorFinder,
+        runner: FailoverRunner,
         doubts: DoubtedPrimaries,
     ) -> None:
         self._state = state
@@ -144,7 +144,7 @@
             return
         turn = self._turn("first")
         waited_s = trio.current_time() - self._started_at
-        if waited_s < turn * FIRST_TURN_S or (
+        if waited_s < turn * FIRST_RANK_DELAY_S or (
             len(groups) < len(missing) and waited_s < FIRST_ALL_S
         ):
             return
@@ -174,11 +174,11 @@
         if changed.moving:
             await self._writer.write(changed)
 
-    async def _change_needed(self, group: str, leading: Leading) -> Moving | None:
+    async def _change_needed(self, group: str, leading: Leading) -> FailingOver | None:
         """Return the change that ``group`` needs, if it is this box's turn to start one."""
         if leading.is_doubted:
             successor = await self._doubts.successor(group, leading, self._turn(group))
-            return None if successor is None else Moving(leading, successor, planned=False)
+            return None if successor is None else FailingOver(leading, successor, planned=False)
         now = trio.current_time()
         row = self._state.endpoints.rows.get(leading.endpoint)
         if not self._is_settled() or (row is not None and not row.may_need_successor):
@@ -201,7 +201,7 @@
             received=str(best.received),
             planned=planned,
         )
-        return Moving(leading, best.name, planned)
+        return FailingOver(leading, best.name, planned)
 
     async def _successor_of_lost(self, group: str, old: str, turn: int) -> Candidate | None:
         """Return who takes over from a primary that no box hears; None if one does.
@@ -239,7 +239,7 @@
         )
         if boxes is None:
             boxes = self._directory.live()
-        return min(MOST_TURNS, turn_of(self._state.box, boxes, what))
+        return min(MAX_RANKS, takeover_rank(self._state.box, boxes, what))
 
     async def _is_heard_elsewhere(self, group: str, endpoint: str, asked: list[Box] | None) -> bool:
         await self._directory.round(check=(endpoint,), among=asked)
@@ -260,11 +260,11 @@
             # Were all boxes to ask about a change that waits for a silent box's lease, their
             # questions would grow with the square of the boxes.
             return False
-        seen_s = now - self._seen.at - self._take_over_turn(record) * FIRST_TURN_S
-        if seen_s > FIRST_TURN_S:
+        seen_s = now - self._seen.at - self._take_over_turn(record) * FIRST_RANK_DELAY_S
+        if seen_s > FIRST_RANK_DELAY_S:
             await self._ask_holder(_box_of(record.holder))
         if self._holder_restarted(record.holder):
-            return seen_s > FIRST_TURN_S
+            return seen_s > FIRST_RANK_DELAY_S
         if any(moving.ordered for moving in record.moving.values()):
             return seen_s > TAKE_OVER_ORDERED_S
         silent = _box_of(record.holder) not in self._directory.replies
@@ -274,7 +274,7 @@
         """Return how many boxes that run statements of the groups concerned go first."""
         others = self._gateways.others_of(record.moving)
         names = self._directory.live() if others is None else [box.name for box in others]
-        return min(MOST_TURNS, turn_of(self._state.box, names, str(record.fence)))
+        return min(MAX_RANKS, takeover_rank(self._state.box, names, str(record.fence)))
 
     async def _ask_holder(self, name: str) -> None:
         """Ask the box that holds a change whether it lives, and with which process."""
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -9,7 +9,7 @@
 
 from wharftiller.core.errors import PlatformUnavailableError
 from wharftiller.core.leadership.failover import SEND_WINDOW_S
-from wharftiller.core.leadership.record import Leading, Moving
+from wharftiller.core.leadership.record import FailingOver, Leading
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -19,9 +19,9 @@
     from wharftiller.daemons.sessions.connections.probes import Prober
     from wharftiller.daemons.sessions.forwarding.gateways import Gateways
     from wharftiller.daemons.sessions.interfaces import Promotions
-    from wharftiller.daemons.sessions.leadership.lease_revocation import BoxStopper
+    from wharftiller.daemons.sessions.leadership.lease_revocation import LeaseRevoker
     from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
-    from wharftiller.daemons.sessions.leadership.successors import Successors
+    from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
@@ -41,7 +41,7 @@
 whether replicas have applied it or not.
 """
 
-LAST_WORD_FRESH_S = 1.0
+LAST_RELEASE_FRESH_S = 1.0
 """Age beyond which a lost primary is asked once more before anything is ordered, in seconds.
 
 Where every box gives its word at once, the question asked meanwhile is enough.
@@ -51,7 +51,7 @@
 """Times a finished change is offered to the platform before the next look does it again."""
 
 
-class ChangeRunner:
+class FailoverRunner:
     """Carries on the changes of primary that this box holds."""
 
     def __init__(
@@ -60,8 +60,8 @@
         directory: BoxDirectory,
         gateways: Gateways,
         writer: RecordWriter,
-        stopper: BoxStopper,
-        successors: Successors,
+        stopper: LeaseRevoker,
+        successors: SuccessorFinder,
         promotions: Promotions,
         prober: Prober,
     ) -> None:
@@ -109,8 +109,8 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask_lost, nursery.cancel_scope)
-            answering.update(await self._stopper.everyone_stopped(record, won_at))
-        if not answering and trio.current_time() - asked_at > LAST_WORD_FRESH_S:
+            answering.update(await self._stopper.all_released(record, won_at))
+        if not answering and trio.current_time() - asked_at > LAST_RELEASE_FRESH_S:
             answering.update(await self._lost_that_answer(record))
         if await self._called_off(record, answering):
             return False
@@ -166,7 +166,7 @@
             record = record.with_group(group, ordered)
         return record
 
-    async def _best_successor(self, group: str, moving: Moving) -> str | None:
+    async def _best_successor(self, group: str, moving: FailingOver) -> str | None:
         if moving.old.is_doubted:
             # Every endpoint was asked when it was chosen, the old primary among them.
             return moving.successor
@@ -190,7 +190,7 @@
         led: dict[str, Leading] = {}
         not_running: list[str] = []
 
-        async def promote(group: str, moving: Moving) -> None:
+        async def promote(group: str, moving: FailingOver) -> None:
             if not await self._promote(group, moving, record.fence):
                 not_running.append(group)
                 return
@@ -206,7 +206,7 @@
             return []
         return not_running
 
-    async def _promote(self, group: str, moving: Moving, fence: int) -> bool:
+    async def _promote(self, group: str, moving: FailingOver, fence: int) -> bool:
         holder = self._state.box
         try:
             accepted = await self._promotions.promote(group, moving.successor, holder, fence)
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -19,7 +19,7 @@
     from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
     from wharftiller.daemons.sessions.state import SharedState
 
-WORDS_AGAIN_S = 0.2
+RELEASE_RETRY_S = 0.2
 """Time between questions to boxes that did not answer as hoped, in seconds."""
 
 STOP_BEFORE_S = 0.4
@@ -29,7 +29,7 @@
 """
 
 
-class BoxStopper:
+class LeaseRevoker:
     """Has this box and every other one stop."""
 
     def __init__(
@@ -48,7 +48,7 @@
         self._store = store
         self._listings = listings
 
-    async def everyone_stopped(self, record: LeadershipRecord, won_at: float) -> list[str]:
+    async def all_released(self, record: LeadershipRecord, won_at: float) -> list[str]:
         """Return once no box uses an old primary; the groups whose lost one answers again."""
         listed = await self._list_anew()
         dead = self._marks.surely_dead() if listed else []
@@ -60,7 +60,7 @@
         async with trio.open_nursery() as nursery:
             # Each box first lets its writes end, for a second at most: all at once.
             nursery.start_soon(self._server.stop_using, record)
-            vouched = await self._ask_words(silent, record)
+            vouched = await self._request_releases(silent, record)
         while True:
             answering = self._answering_again(record, won_at)
             if answering or (listed and not silent):
@@ -69,8 +69,8 @@
             if now >= won_at + LEASE_S and (vouched or self._is_old_member(now)):
                 self._state.log.change("lease_waited_out", silent=sorted(silent))
                 return []
-            await trio.sleep(WORDS_AGAIN_S)
-            vouched |= await self._ask_words(silent, record)
+            await trio.sleep(RELEASE_RETRY_S)
+            vouched |= await self._request_releases(silent, record)
 
     async def _let_silent_leases_end(self, won_at: float, asked: dict[str, Box]) -> None:
         """Let the other boxes go on for most of the wait for boxes that cannot be asked."""
@@ -104,7 +104,7 @@
                 answering.append(group)
         return answering
 
-    async def _ask_words(self, silent: dict[str, Box], record: LeadershipRecord) -> bool:
+    async def _request_releases(self, silent: dict[str, Box], record: LeadershipRecord) -> bool:
         """Ask the silent boxes for their word; return whether an old member gave one.
 
         A silent box's rounds ask every box that was listed `LISTING_S` before, so an
@@ -117,7 +117,7 @@
             if box is None:
                 silent.pop(name, None)
                 return
-            listed_s = await self._directory.ask_word(box, record)
+            listed_s = await self._directory.request_release(box, record)
             if listed_s is not None:
                 members.append(listed_s)
                 silent.pop(name, None)
--- a/wharftiller/daemons/sessions/leadership/successors.py
+++ b/wharftiller/daemons/sessions/leadership/successors.py
@@ -9,7 +9,7 @@
 
 from wharftiller.core.errors import EndpointRefusedError, ExchangeError
 from wharftiller.core.leadership.failover import Candidate, best_candidate
-from wharftiller.core.leadership.record import Leading, Moving
+from wharftiller.core.leadership.record import FailingOver, Leading
 
 if TYPE_CHECKING:
     from wharftiller.core.sessions.endpoints import EndpointRow
@@ -33,7 +33,7 @@
 """
 
 
-class Successors:
+class SuccessorFinder:
     """Asks endpoints for what they have received and whether they lead."""
 
     def __init__(self, state: SharedState, prober: Prober) -> None:
@@ -111,7 +111,7 @@
             return None
         return best.name
 
-    async def wait_caught_up(self, moving: Moving) -> bool:
+    async def wait_caught_up(self, moving: FailingOver) -> bool:
         """Wait until the successor has received all that the old primary holds.
 
         Returns
@@ -132,7 +132,7 @@
         self._state.log.event("successor_behind", endpoint=moving.successor)
         return False
 
-    async def best(self, group: str, moving: Moving, no_older_than_s: float = 0.0) -> str:
+    async def best(self, group: str, moving: FailingOver, no_older_than_s: float = 0.0) -> str:
         """Return the endpoint that has received most, the recorded one if it has."""
         # A doubted primary is a candidate like the others.
         old = "" if moving.old.is_doubted else moving.old.endpoint
@@ -143,7 +143,7 @@
             return moving.successor
         return best.name
 
-    async def leading(self, moving: Moving) -> Leading | None:
+    async def leading(self, moving: FailingOver) -> Leading | None:
         """Return the successor with its term once it says that it leads.
 
         Where the old primary was doubted, the successor may have led before, in the term that
--- a/wharftiller/daemons/sessions/leadership/verification.py
+++ b/wharftiller/daemons/sessions/leadership/verification.py
@@ -8,14 +8,18 @@
 import attrs
 import trio
 
-from wharftiller.core.leadership.verification import ORDERS_EFFECT_S, DoubtEvidence, whom_to_promote
+from wharftiller.core.leadership.verification import (
+    ORDERS_EFFECT_S,
+    DoubtEvidence,
+    choose_successor,
+)
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.record import LeadershipRecord, Leading
     from wharftiller.core.sessions.endpoints import EndpointRow
     from wharftiller.core.sessions.statements import EndpointStatus
     from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
-    from wharftiller.daemons.sessions.leadership.successors import Successors
+    from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
     from wharftiller.daemons.sessions.state import SharedState
 
 ASK_AGAIN_S = 1.0
@@ -24,14 +28,16 @@
 Each takes a slot of every endpoint; one that comes back is seen soon enough.
 """
 
-TURN_S = 0.3
+RANK_DELAY_S = 0.3
 """Time by which each further box leaves a doubt to those before it, in seconds."""
 
 
 class DoubtedPrimaries:
     """Clears doubts by this box's leases, else finds out whom to promote."""
 
-    def __init__(self, state: SharedState, writer: RecordWriter, successors: Successors) -> None:
+    def __init__(
+        self, state: SharedState, writer: RecordWriter, successors: SuccessorFinder
+    ) -> None:
         self._state = state
         self._writer = writer
         self._successors = successors
@@ -60,7 +66,7 @@
         turn : int
             How many boxes go first.
         """
-        if trio.current_time() - self._since < turn * TURN_S:
+        if trio.current_time() - self._since < turn * RANK_DELAY_S:
             return False
         for group in sorted(sure):
             leading = attrs.evolve(record.doubted[group], is_doubted=False)
@@ -71,7 +77,7 @@
     async def successor(self, group: str, doubted: Leading, turn: int) -> str | None:
         """Return whom to promote in ``group``, None while that cannot be told."""
         now = trio.current_time()
-        doubted_s = now - self._since - turn * TURN_S
+        doubted_s = now - self._since - turn * RANK_DELAY_S
         asked_s = now - self._asked_at.get(group, -math.inf)
         if doubted_s < ORDERS_EFFECT_S or asked_s < ASK_AGAIN_S:
             return None
@@ -87,7 +93,7 @@
             is_settled=self._state.leases.is_settled(trio.current_time()),
             sync_replicas=0 if limits is None else limits.sync_replicas,
         )
-        successor = whom_to_promote(doubted, evidence)
+        successor = choose_successor(doubted, evidence)
         self._state.log.event(
             "primary_doubted",
             group=group,
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -180,7 +180,7 @@
         for group, moving in record.moving.items():
             if moving.planned:
                 await self._quiet(group)
-            self._state.leases.give_word(group, moving.old.endpoint)
+            self._state.leases.release_lease(group, moving.old.endpoint)
         self._state.log.change("word_given", groups=sorted(record.moving))
         self._state.wake()
 
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -14,7 +14,7 @@
 import trio
 
 from wharftiller.core.errors import BadRequestError, ExchangeError
-from wharftiller.core.leadership.failover import turn_of
+from wharftiller.core.leadership.failover import takeover_rank
 from wharftiller.core.leadership.lease import RoundAnswer
 from wharftiller.core.rendezvous import ranked
 from wharftiller.core.sessions.probe_outcomes import SignOfLife
@@ -47,7 +47,7 @@
 ROUND_TIMEOUT_S = 0.7
 """Time a box has to answer in a round, in seconds."""
 
-WORD_TIMEOUT_S = 1.5
+RELEASE_TIMEOUT_S = 1.5
 """Time a box has to give its word, in seconds; it may first let its writes end."""
 
 NEVER_READ_S = 3600.0
@@ -122,7 +122,7 @@
     def is_reading_box(self) -> bool:
         """Whether this box goes first of those that the platform answers."""
         reading = [name for name, reply in self.replies.items() if reply.platform_answers]
-        return turn_of(self._box.name, reading, "reader") == 0
+        return takeover_rank(self._box.name, reading, "reader") == 0
 
     def take_list(self, boxes: dict[str, Box]) -> None:
         """Take in the platform's list of the other boxes."""
@@ -319,7 +319,7 @@
         """Return for how long this process has been listed, in seconds."""
         return 0.0 if self.listed_since is None else now - self.listed_since
 
-    async def ask_word(self, box: Box, record: LeadershipRecord) -> float | None:
+    async def request_release(self, box: Box, record: LeadershipRecord) -> float | None:
         """Ask a box to stop using the primaries being replaced.
 
         Returns
@@ -329,7 +329,7 @@
         """
         body = {"revision": record.revision, "record": record_to_json(record)}
         try:
-            value = await self.post(box, "/peer/stop", body, WORD_TIMEOUT_S)
+            value = await self.post(box, "/peer/stop", body, RELEASE_TIMEOUT_S)
         except ExchangeError as error:
             self._state.log.event("word_not_given", other=box.name, why=str(error))
             return None
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -21,11 +21,11 @@
 from wharftiller.daemons.sessions.forwarding.gateway_client import GatewayClient
 from wharftiller.daemons.sessions.forwarding.gateways import Gateways
 from wharftiller.daemons.sessions.gauges import believed
-from wharftiller.daemons.sessions.leadership.failover_monitor import PrimaryMover
-from wharftiller.daemons.sessions.leadership.failover_runner import ChangeRunner
-from wharftiller.daemons.sessions.leadership.lease_revocation import BoxStopper
+from wharftiller.daemons.sessions.leadership.failover_monitor import FailoverMonitor
+from wharftiller.daemons.sessions.leadership.failover_runner import FailoverRunner
+from wharftiller.daemons.sessions.leadership.lease_revocation import LeaseRevoker
 from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
-from wharftiller.daemons.sessions.leadership.successors import Successors
+from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
 from wharftiller.daemons.sessions.leadership.verification import DoubtedPrimaries
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.box_server import BoxServer
@@ -169,9 +169,11 @@
         )
         self.relay = RelayServer(transport, self.state.endpoints.is_endpoint)
         writer = RecordWriter(self.state, shared, incarnation)
-        successors = Successors(self.state, self._prober)
-        stopper = BoxStopper(self.state, self._directory, marks, self._box_server, shared, listings)
-        changes = ChangeRunner(
+        successors = SuccessorFinder(self.state, self._prober)
+        stopper = LeaseRevoker(
+            self.state, self._directory, marks, self._box_server, shared, listings
+        )
+        changes = FailoverRunner(
             self.state,
             self._directory,
             self._gateways,
@@ -181,7 +183,7 @@
             promotions,
             self._prober,
         )
-        self._mover = PrimaryMover(
+        self._mover = FailoverMonitor(
             self.state,
             self._directory,
             self._gateways,
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.core.leadership.lease import LEASE_S, LeaseTable
-from wharftiller.core.leadership.record import Leading, Moving
+from wharftiller.core.leadership.record import FailingOver, Leading
 from wharftiller.core.sessions.metrics import Figures
 from wharftiller.core.sessions.retry_after import PrimaryOutlook
 from wharftiller.core.sessions.routes import SessionConfiguration
@@ -169,9 +169,9 @@
         """Return whether a usable primary is likely to be known within a second or so."""
         now = trio.current_time()
         match self.leases.record.groups.get(group):
-            case Moving(planned=True) | Moving(ordered=True):
+            case FailingOver(planned=True) | FailingOver(ordered=True):
                 return True
-            case Moving():
+            case FailingOver():
                 # Decided within moments, or else a silent box's lease is waited for.
                 return now - self._record_at < RECORD_EXPECTED_S
             case Leading(is_doubted=True):
@@ -191,7 +191,7 @@
         """Return what is known of a primary that cannot be used now."""
         now = trio.current_time()
         match self.leases.record.groups.get(group):
-            case Moving(planned=planned, ordered=ordered):
+            case FailingOver(planned=planned, ordered=ordered):
                 since = self._record_at if self._changing_since is None else self._changing_since
                 return PrimaryOutlook(now - since, planned or ordered)
             case Leading(is_doubted=True):
--- a/wharftiller/edges/leadership_json.py
+++ b/wharftiller/edges/leadership_json.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from wharftiller.core.errors import BadRequestError
-from wharftiller.core.leadership.record import LeadershipRecord, Leading, Moving
+from wharftiller.core.leadership.record import FailingOver, LeadershipRecord, Leading
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.record import GroupLeadership
@@ -28,7 +28,7 @@
     match state:
         case Leading():
             return _leading_to_json(state)
-        case Moving(old, successor, planned, ordered):
+        case FailingOver(old, successor, planned, ordered):
             return {
                 **_leading_to_json(old),
                 "successor": successor,
@@ -75,4 +75,4 @@
     old = Leading(str(value["endpoint"]), int(value["term"]), is_doubted)
     if "successor" not in value:
         return old
-    return Moving(old, str(value["successor"]), bool(value["planned"]), bool(value["ordered"]))
+    return FailingOver(old, str(value["successor"]), bool(value["planned"]), bool(value["ordered"]))
--- a/wharftiller/run_report.py
+++ b/wharftiller/run_report.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class ChangeOfPrimary:
+class Failover:
     """One promotion that was ordered.
 
     Attributes
@@ -64,7 +64,7 @@
     """
 
     reads: list[ReadShare]
-    changes: list[ChangeOfPrimary]
+    changes: list[Failover]
     refusals: dict[tuple[float, str], int]
     losses: list[Loss] = attrs.field(factory=list)
 
@@ -93,7 +93,7 @@
     ]
 
 
-def _changes(events: list[LoggedEvent]) -> list[ChangeOfPrimary]:
+def _changes(events: list[LoggedEvent]) -> list[Failover]:
     started: dict[tuple[str, str], LoggedEvent] = {}
     orders: dict[str, list[LoggedEvent]] = collections.defaultdict(list)
     changes = []
@@ -119,7 +119,7 @@
     start: LoggedEvent,
     order: LoggedEvent,
     written: LoggedEvent,
-) -> ChangeOfPrimary:
+) -> Failover:
     old = str(start.fields.get("old"))
     silent_at = [
         event.at
@@ -131,7 +131,7 @@
     silent_s = written.at - silent_at[-1] if silent_at else None
     successor = str(order.fields.get("endpoint"))
     planned = bool(start.fields.get("planned"))
-    return ChangeOfPrimary(group, old, successor, planned, silent_s, written.at - start.at)
+    return Failover(group, old, successor, planned, silent_s, written.at - start.at)
 
 
 def _refusals(events: list[LoggedEvent], first: float) -> dict[tuple[float, str], int]:
--- a/wharftiller/tests/core/leadership/histories.py
+++ b/wharftiller/tests/core/leadership/histories.py
@@ -18,8 +18,8 @@
 
 from wharftiller.core.leadership.failover import TAKE_OVER_S
 from wharftiller.core.leadership.lease import LEASE_S, LISTING_S, RoundAnswer, holds_no_lease
-from wharftiller.core.leadership.record import LeadershipRecord, Leading, Moving
-from wharftiller.core.leadership.verification import DoubtEvidence, whom_to_promote
+from wharftiller.core.leadership.record import FailingOver, LeadershipRecord, Leading
+from wharftiller.core.leadership.verification import DoubtEvidence, choose_successor
 from wharftiller.tests.core.leadership.model_endpoints import ModelEndpoints
 from wharftiller.tests.core.leadership.model_platform import ModelPlatform
 from wharftiller.tests.core.leadership.weak_table import Rules, WeakTable
@@ -296,9 +296,9 @@
             self.now - box.doubts_since,
             box.table.is_settled(self.now),
         )
-        successor = whom_to_promote(believed.doubted[GROUP], evidence)
+        successor = choose_successor(believed.doubted[GROUP], evidence)
         if successor is not None and not box.moving:
-            moving = Moving(believed.doubted[GROUP], successor, planned=False)
+            moving = FailingOver(believed.doubted[GROUP], successor, planned=False)
             self._take_record(box, believed, moving, self._doubt_dice)
 
     def _replace_record(self, record: LeadershipRecord) -> LeadershipRecord:
@@ -319,15 +319,15 @@
         state = believed.groups[GROUP]
         match state:
             case Leading():
-                moving = Moving(state, f"p{self._platform.revision + 1}", planned=False)
-            case Moving() if self.now - self._platform.written_at > TAKE_OVER_S:
+                moving = FailingOver(state, f"p{self._platform.revision + 1}", planned=False)
+            case FailingOver() if self.now - self._platform.written_at > TAKE_OVER_S:
                 moving = state
             case _:
                 return
         self._take_record(box, believed, moving, self._random)
 
     def _take_record(
-        self, box: ModelBox, believed: LeadershipRecord, moving: Moving, dice: random.Random
+        self, box: ModelBox, believed: LeadershipRecord, moving: FailingOver, dice: random.Random
     ) -> None:
         held = attrs.evolve(believed, fence=believed.fence + 1, holder=box.name)
         won = self._replace_record(held.with_group(GROUP, moving))
@@ -346,15 +346,15 @@
         marks: dict[str, int],
     ) -> None:
         box.table.adopt(won)
-        box.table.give_word(GROUP, won.moving[GROUP].old.endpoint)
+        box.table.release_lease(GROUP, won.moving[GROUP].old.endpoint)
         silent = set(listed if listed is not None else box.table.boxes) - {box.name}
         self._take_marks(box, marks)
         dead = {name for name in silent & box.marks.keys() if self._is_surely_dead(box, name)}
         self.unwaited += len(dead)
         silent -= dead
-        self._ask_words(box, won, silent, self.now)
+        self._request_releases(box, won, silent, self.now)
 
-    def _ask_words(
+    def _request_releases(
         self,
         box: ModelBox,
         won: LeadershipRecord,
@@ -366,7 +366,7 @@
             awake = not other.dead and other.frozen_until <= self.now
             if other.name in silent and awake and self._connected(box, other):
                 other.table.adopt(won)
-                other.table.give_word(GROUP, won.moving[GROUP].old.endpoint)
+                other.table.release_lease(GROUP, won.moving[GROUP].old.endpoint)
                 silent.discard(other.name)
                 vouched |= self._is_old(other)
         old_member = self._is_old(box) or vouched or not self._rules.promoter_is_old_member
@@ -375,7 +375,9 @@
             return
         self._at(
             0.2,
-            lambda: self._later(box, lambda: self._ask_words(box, won, silent, won_at, vouched)),
+            lambda: self._later(
+                box, lambda: self._request_releases(box, won, silent, won_at, vouched)
+            ),
         )
 
     def _is_surely_dead(self, box: ModelBox, name: str) -> bool:
--- a/wharftiller/tests/core/leadership/test_lease.py
+++ b/wharftiller/tests/core/leadership/test_lease.py
@@ -16,7 +16,7 @@
     RoundAnswer,
     holds_no_lease,
 )
-from wharftiller.core.leadership.record import LOST_MOST, LeadershipRecord, Leading, Moving
+from wharftiller.core.leadership.record import LOST_MOST, FailingOver, LeadershipRecord, Leading
 from wharftiller.tests.core.leadership import histories
 from wharftiller.tests.core.leadership.histories import play
 from wharftiller.tests.core.leadership.weak_table import Rules
@@ -24,7 +24,7 @@
 GROUP = "seats"
 
 
-def record(revision: int, state: Leading | Moving) -> LeadershipRecord:
+def record(revision: int, state: Leading | FailingOver) -> LeadershipRecord:
     return LeadershipRecord(revision, 1, "box-1/x", "a", {GROUP: state})
 
 
@@ -71,20 +71,20 @@
 
 class TestChanges:
     def test_an_unplanned_change_ends_the_lease_at_once(self, table: LeaseTable) -> None:
-        table.adopt(record(2, Moving(Leading("one"), "two", planned=False)))
+        table.adopt(record(2, FailingOver(Leading("one"), "two", planned=False)))
         assert table.lease(GROUP, 0.1) is None
 
     def test_a_planned_change_lets_writes_end_but_none_start(self, table: LeaseTable) -> None:
-        table.adopt(record(2, Moving(Leading("one"), "two", planned=True)))
+        table.adopt(record(2, FailingOver(Leading("one"), "two", planned=True)))
         assert table.may_start(GROUP, 0.1) is not None
         table.close(GROUP, "one")
         assert table.may_start(GROUP, 0.1) is None
         assert table.may_acknowledge(GROUP, "one", 0.1)
-        table.give_word(GROUP, "one")
+        table.release_lease(GROUP, "one")
         assert not table.may_acknowledge(GROUP, "one", 0.1)
 
     def test_a_planned_change_is_no_check(self, table: LeaseTable) -> None:
-        table.read(record(2, Moving(Leading("one"), "two", planned=True)), 3.0)
+        table.read(record(2, FailingOver(Leading("one"), "two", planned=True)), 3.0)
         assert table.may_start(GROUP, LEASE_S - 0.01) is not None
         assert table.may_start(GROUP, LEASE_S) is None
 
@@ -105,7 +105,7 @@
         assert table.lease(GROUP, 0.6) is None
 
     def test_a_change_that_was_called_off_gives_the_primary_back(self, table: LeaseTable) -> None:
-        table.adopt(record(2, Moving(Leading("one"), "two", planned=False)))
+        table.adopt(record(2, FailingOver(Leading("one"), "two", planned=False)))
         table.read(record(3, Leading("one")), 1.0)
         assert table.may_acknowledge(GROUP, "one", 1.1)
 
@@ -285,7 +285,7 @@
 
     def test_a_change_that_came_back_leaves_its_old_primary_in_doubt(self) -> None:
         """It may have ended, and another begun, in the seconds that were lost."""
-        moving = Moving(Leading("one", 4), "two", planned=False, ordered=True)
+        moving = FailingOver(Leading("one", 4), "two", planned=False, ordered=True)
         written = record(9, moving).confirmed_at(9, ())
         assert written.doubted == {GROUP: Leading("one", 4, is_doubted=True)}
         assert written.moving == {}
--- a/wharftiller/tests/core/leadership/test_verification.py
+++ b/wharftiller/tests/core/leadership/test_verification.py
@@ -9,7 +9,7 @@
 from wharftiller.core.leadership.verification import (
     ORDERS_EFFECT_S,
     DoubtEvidence,
-    whom_to_promote,
+    choose_successor,
 )
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.sessions.statements import EndpointStatus
@@ -38,20 +38,20 @@
 
 class TestAllAnswer:
     def test_the_recorded_primary_leads_on_by_its_word(self) -> None:
-        assert whom_to_promote(RECORDED, evidence(STILL_LED)) == "one"
+        assert choose_successor(RECORDED, evidence(STILL_LED)) == "one"
 
     def test_a_newer_term_refutes_the_record(self) -> None:
         """Whatever the old primary committed meanwhile: its log is longer here."""
-        assert whom_to_promote(RECORDED, evidence(REPLACED)) == "two"
+        assert choose_successor(RECORDED, evidence(REPLACED)) == "two"
 
     def test_orders_from_before_may_still_take_effect(self) -> None:
         early = evidence(STILL_LED, doubted_s=ORDERS_EFFECT_S - 0.1)
-        assert whom_to_promote(RECORDED, early) is None
+        assert choose_successor(RECORDED, early) is None
 
     def test_nobody_leads_the_newest_term(self) -> None:
         told = {"one": status(1, 12, leads=True), "three": status(2, 9)}
-        assert whom_to_promote(RECORDED, evidence(told)) is None
-        assert whom_to_promote(RECORDED, evidence(told, is_settled=True)) == "three"
+        assert choose_successor(RECORDED, evidence(told)) is None
+        assert choose_successor(RECORDED, evidence(told, is_settled=True)) == "three"
 
 
 class TestSomeAreSilent:
@@ -62,12 +62,12 @@
     )
     def test_one_that_cannot_be_asked_may_be_in_use(self, unseen: dict[str, object]) -> None:
         told = {"one": status(1, 12, leads=True), "three": status(1, 9)}
-        assert whom_to_promote(RECORDED, evidence(told, **unseen)) is None
-        assert whom_to_promote(RECORDED, evidence(told, **unseen, is_settled=True)) == "one"
+        assert choose_successor(RECORDED, evidence(told, **unseen)) is None
+        assert choose_successor(RECORDED, evidence(told, **unseen, is_settled=True)) == "one"
 
     def test_what_a_replica_knows_refutes_the_record_too(self) -> None:
         told = {"one": status(1, 12, leads=True), "three": status(2, 9)}
-        assert whom_to_promote(RECORDED, evidence(told, "two", is_settled=True)) == "three"
+        assert choose_successor(RECORDED, evidence(told, "two", is_settled=True)) == "three"
 
     def test_no_acknowledged_write_is_left_behind(self) -> None:
         """Each is on two of three endpoints: one may be silent, not two."""
@@ -75,9 +75,9 @@
         both = {**primary, "two": STILL_LED["two"]}
         two = evidence(both, "three", is_settled=True, sync_replicas=1)
         one = evidence(primary, "two", "three", is_settled=True, sync_replicas=1)
-        assert whom_to_promote(RECORDED, two) == "one"
-        assert whom_to_promote(RECORDED, one) is None
+        assert choose_successor(RECORDED, two) == "one"
+        assert choose_successor(RECORDED, one) is None
 
     def test_nothing_is_decided_while_nobody_answers(self) -> None:
         nobody = evidence({}, "one", "two", "three", is_settled=True)
-        assert whom_to_promote(RECORDED, nobody) is None
+        assert choose_successor(RECORDED, nobody) is None
--- a/wharftiller/tests/platform/test_idle.py
+++ b/wharftiller/tests/platform/test_idle.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.core.sessions.gateways import GatewayPlan, plan_gateways
-from wharftiller.daemons.sessions.leadership.failover_monitor import PrimaryMover
+from wharftiller.daemons.sessions.leadership.failover_monitor import FailoverMonitor
 from wharftiller.tests.platform.world import World, make_group, run_in_world
 
 BOXES = 24
@@ -74,13 +74,13 @@
     ) -> None:
         turns = []
 
-        def counted(mover: PrimaryMover, what: str) -> int:
+        def counted(mover: FailoverMonitor, what: str) -> int:
             turns.append(what)
             return 0
 
         async def story(world: World) -> None:
             await trio.sleep(WATCHED_S)
-            monkeypatch.setattr(PrimaryMover, "_turn", counted)
+            monkeypatch.setattr(FailoverMonitor, "_turn", counted)
             await trio.sleep(WATCHED_S)
             assert not turns
 
--- a/wharftiller/tests/platform/test_restored_platform.py
+++ b/wharftiller/tests/platform/test_restored_platform.py
@@ -12,7 +12,7 @@
 from wharftiller.core.errors import PlatformUnavailableError
 from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 from wharftiller.core.sessions.statements import EndpointStatus
-from wharftiller.daemons.sessions.leadership.successors import Successors
+from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
 from wharftiller.daemons.sessions.leadership.verification import ASK_AGAIN_S
 from wharftiller.daemons.sessions.membership import readers
 from wharftiller.platform.objects import OWN_KIND, RECORD_NAME
@@ -189,14 +189,14 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Each question takes a slot, just as all boxes open their connections anew."""
-        asked: dict[Successors, list[float]] = {}
-        ask = Successors.statuses
+        asked: dict[SuccessorFinder, list[float]] = {}
+        ask = SuccessorFinder.statuses
 
-        async def counted(successors: Successors, group: str) -> dict[str, EndpointStatus]:
+        async def counted(successors: SuccessorFinder, group: str) -> dict[str, EndpointStatus]:
             asked.setdefault(successors, []).append(trio.current_time())
             return await ask(successors, group)
 
-        monkeypatch.setattr(Successors, "statuses", counted)
+        monkeypatch.setattr(SuccessorFinder, "statuses", counted)
 
         async def story(world: World) -> None:
             taken = world.store.copy()
