--- a/wharftiller/core/leadership/lease.py
+++ b/wharftiller/core/leadership/lease.py
@@ -311,4 +311,4 @@
 
     def _only_extends(self, state: Leading) -> bool:
         """Return whether checks extend a valid lease on this primary, but begin none."""
-        return state.is_doubted or self._unsettled is not None
+        return state.is_unverified or self._unsettled is not None
--- a/wharftiller/core/leadership/record.py
+++ b/wharftiller/core/leadership/record.py
@@ -25,14 +25,14 @@
     endpoint : str
     term : int
         The primary's term as it told it; 0 if never read.
-    is_doubted : bool
+    is_unverified : bool
         Whether this came back with a copy of the platform, and nothing has shown since that no
         other endpoint was promoted in the seconds that were lost.
     """
 
     endpoint: str
     term: int = 0
-    is_doubted: bool = False
+    is_unverified: bool = False
 
 
 @attrs.frozen
@@ -63,7 +63,7 @@
 
         A doubted one does not: that it answers tells nothing of whether it was replaced.
         """
-        return not (self.planned or self.ordered or self.old.is_doubted)
+        return not (self.planned or self.ordered or self.old.is_unverified)
 
 
 GroupLeadership = Leading | FailingOver
@@ -127,7 +127,7 @@
             The groups that are surely still led by whom this record names.
         """
         groups: dict[str, GroupLeadership] = {
-            name: _led(state, is_doubted=name not in surely_led)
+            name: _led(state, is_unverified=name not in surely_led)
             for name, state in self.groups.items()
         }
         return attrs.evolve(
@@ -146,7 +146,7 @@
         return {
             name: state
             for name, state in self.groups.items()
-            if isinstance(state, Leading) and state.is_doubted
+            if isinstance(state, Leading) and state.is_unverified
         }
 
     @property
@@ -169,7 +169,7 @@
         return attrs.evolve(self, groups={**self.groups, group: state})
 
 
-def _led(state: GroupLeadership, *, is_doubted: bool) -> Leading:
+def _led(state: GroupLeadership, *, is_unverified: bool) -> Leading:
     """Return the primary that ``state`` names, doubted or not."""
     leading = state if isinstance(state, Leading) else state.old
-    return attrs.evolve(leading, is_doubted=is_doubted)
+    return attrs.evolve(leading, is_unverified=is_unverified)
--- a/wharftiller/core/leadership/verification.py
+++ b/wharftiller/core/leadership/verification.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class DoubtEvidence:
+class VerificationEvidence:
     """What a box knows of a group whose primary is doubted.
 
     Attributes
@@ -35,7 +35,7 @@
         Registered endpoints that did not.
     vanished : frozenset of str
         Endpoints that were registered and are gone without having said that they leave.
-    doubted_s : float
+    unverified_s : float
         For how long this box has known of the doubt, in seconds.
     is_settled : bool
         Whether all leases from before the restoration have ended.
@@ -46,12 +46,12 @@
     statuses: dict[str, EndpointStatus]
     silent: frozenset[str]
     vanished: frozenset[str]
-    doubted_s: float
+    unverified_s: float
     is_settled: bool
     sync_replicas: int = 0
 
 
-def choose_successor(doubted: Leading, evidence: DoubtEvidence) -> str | None:
+def choose_successor(doubted: Leading, evidence: VerificationEvidence) -> str | None:
     """Return the endpoint that leads or should, None while that cannot be told.
 
     Load: the first seconds after all boxes ended together while the platform was restored.
@@ -59,7 +59,7 @@
     of boxes that ended can take effect where every endpoint answers. Beside a silent one it
     waits for all leases: the silent one may be the primary that some box still uses.
     """
-    if not evidence.statuses or evidence.doubted_s < ORDERS_EFFECT_S:
+    if not evidence.statuses or evidence.unverified_s < ORDERS_EFFECT_S:
         return None
     leader = _newest_leader(evidence.statuses)
     if leader is not None and not evidence.silent and not evidence.vanished:
--- a/wharftiller/core/sessions/retry_after.py
+++ b/wharftiller/core/sessions/retry_after.py
@@ -65,7 +65,7 @@
         Whether that change can surely be ordered: planned, or ordered already.
     silent_s : float or None
         For how long the primary has been silent to this box, in seconds.
-    doubted_s : float or None
+    unverified_s : float or None
         For how long it has been unknown whether the primary was replaced while the platform
         lost some seconds, in seconds.
     """
@@ -73,7 +73,7 @@
     changing_s: float | None = None
     surely: bool = False
     silent_s: float | None = None
-    doubted_s: float | None = None
+    unverified_s: float | None = None
 
     @property
     def cause(self) -> Cause:
@@ -95,10 +95,10 @@
         left_s = change_s - outlook.changing_s
         # A change that waits for silent boxes ends with their leases.
         return left_s if outlook.surely or left_s > 0 else LEASE_S - outlook.changing_s
-    if outlook.doubted_s is not None:
-        if outlook.doubted_s < ORDERS_EFFECT_S + change_s:
-            return ORDERS_EFFECT_S + change_s - outlook.doubted_s
-        return max(SOON_S, UNSETTLED_S + change_s - outlook.doubted_s)
+    if outlook.unverified_s is not None:
+        if outlook.unverified_s < ORDERS_EFFECT_S + change_s:
+            return ORDERS_EFFECT_S + change_s - outlook.unverified_s
+        return max(SOON_S, UNSETTLED_S + change_s - outlook.unverified_s)
     if outlook.silent_s is None:
         return SOON_S
     if outlook.silent_s < UNREACHABLE_S + change_s:
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -27,7 +27,7 @@
     from wharftiller.daemons.sessions.leadership.failover_runner import FailoverRunner
     from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
     from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
-    from wharftiller.daemons.sessions.leadership.verification import DoubtedPrimaries
+    from wharftiller.daemons.sessions.leadership.verification import UnverifiedPrimaries
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
@@ -76,7 +76,7 @@
         writer: RecordWriter,
         successors: SuccessorFinder,
         runner: FailoverRunner,
-        doubts: DoubtedPrimaries,
+        doubts: UnverifiedPrimaries,
     ) -> None:
         self._state = state
         self._directory = directory
@@ -122,7 +122,7 @@
     async def _clear_doubts(self) -> bool:
         record = self._state.leases.record
         self._doubts.note(record)
-        sure = self._doubts.vouched_for(record)
+        sure = self._doubts.verified(record)
         return bool(sure) and await self._doubts.clear(record, sure, self._turn("doubts"))
 
     def _is_settled(self) -> bool:
@@ -176,7 +176,7 @@
 
     async def _change_needed(self, group: str, leading: Leading) -> FailingOver | None:
         """Return the change that ``group`` needs, if it is this box's turn to start one."""
-        if leading.is_doubted:
+        if leading.is_unverified:
             successor = await self._doubts.successor(group, leading, self._turn(group))
             return None if successor is None else FailingOver(leading, successor, planned=False)
         now = trio.current_time()
@@ -298,7 +298,7 @@
     replaces nobody whom a box may use.
     """
     if record.moving:
-        return all(moving.old.is_doubted for moving in record.moving.values())
+        return all(moving.old.is_unverified for moving in record.moving.values())
     return bool(record.doubted)
 
 
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -167,7 +167,7 @@
         return record
 
     async def _best_successor(self, group: str, moving: FailingOver) -> str | None:
-        if moving.old.is_doubted:
+        if moving.old.is_unverified:
             # Every endpoint was asked when it was chosen, the old primary among them.
             return moving.successor
         caught_up = moving.planned and await self._successors.wait_caught_up(moving)
--- a/wharftiller/daemons/sessions/leadership/successors.py
+++ b/wharftiller/daemons/sessions/leadership/successors.py
@@ -135,7 +135,7 @@
     async def best(self, group: str, moving: FailingOver, no_older_than_s: float = 0.0) -> str:
         """Return the endpoint that has received most, the recorded one if it has."""
         # A doubted primary is a candidate like the others.
-        old = "" if moving.old.is_doubted else moving.old.endpoint
+        old = "" if moving.old.is_unverified else moving.old.endpoint
         candidates = await self.candidates(group, old, no_older_than_s)
         best = best_candidate(candidates)
         named = next((each for each in candidates if each.name == moving.successor), None)
@@ -152,7 +152,7 @@
         row = self._state.endpoints.rows.get(moving.successor)
         may_lead_on = moving.successor == moving.old.endpoint
         least_term = moving.old.term if may_lead_on else moving.old.term + 1
-        if moving.old.is_doubted:
+        if moving.old.is_unverified:
             await trio.sleep(TAKES_EFFECT_S)
         with trio.move_on_after(LEADS_WITHIN_S):
             while row is not None and not row.gone:
--- a/wharftiller/daemons/sessions/leadership/verification.py
+++ b/wharftiller/daemons/sessions/leadership/verification.py
@@ -10,7 +10,7 @@
 
 from wharftiller.core.leadership.verification import (
     ORDERS_EFFECT_S,
-    DoubtEvidence,
+    VerificationEvidence,
     choose_successor,
 )
 
@@ -32,7 +32,7 @@
 """Time by which each further box leaves a doubt to those before it, in seconds."""
 
 
-class DoubtedPrimaries:
+class UnverifiedPrimaries:
     """Clears doubts by this box's leases, else finds out whom to promote."""
 
     def __init__(
@@ -54,7 +54,7 @@
             self._since = trio.current_time()
         self._era = record.era
 
-    def vouched_for(self, record: LeadershipRecord) -> set[str]:
+    def verified(self, record: LeadershipRecord) -> set[str]:
         """Return the doubted groups on whose primary this box holds a valid lease."""
         return record.doubted.keys() & self._state.leases.surely_led(trio.current_time())
 
@@ -69,7 +69,7 @@
         if trio.current_time() - self._since < turn * RANK_DELAY_S:
             return False
         for group in sorted(sure):
-            leading = attrs.evolve(record.doubted[group], is_doubted=False)
+            leading = attrs.evolve(record.doubted[group], is_unverified=False)
             record = record.with_group(group, leading)
         self._state.log.change("doubts_cleared", groups=sorted(sure))
         return await self._writer.write(record)
@@ -77,19 +77,19 @@
     async def successor(self, group: str, doubted: Leading, turn: int) -> str | None:
         """Return whom to promote in ``group``, None while that cannot be told."""
         now = trio.current_time()
-        doubted_s = now - self._since - turn * RANK_DELAY_S
+        unverified_s = now - self._since - turn * RANK_DELAY_S
         asked_s = now - self._asked_at.get(group, -math.inf)
-        if doubted_s < ORDERS_EFFECT_S or asked_s < ASK_AGAIN_S:
+        if unverified_s < ORDERS_EFFECT_S or asked_s < ASK_AGAIN_S:
             return None
         self._asked_at[group] = now
         statuses = await self._successors.statuses(group)
         rows = self._rows_of(group)
         limits = self._state.configuration.groups.get(group)
-        evidence = DoubtEvidence(
+        evidence = VerificationEvidence(
             statuses,
             silent=frozenset(r.name for r in rows if not r.gone) - statuses.keys(),
             vanished=frozenset(r.name for r in rows if r.gone and not r.entry.leaving),
-            doubted_s=doubted_s,
+            unverified_s=unverified_s,
             is_settled=self._state.leases.is_settled(trio.current_time()),
             sync_replicas=0 if limits is None else limits.sync_replicas,
         )
@@ -100,7 +100,7 @@
             recorded=doubted.endpoint,
             told=[_described(name, status) for name, status in statuses.items()],
             silent=sorted(evidence.silent | evidence.vanished),
-            doubted_s=round(doubted_s, 1),
+            doubted_s=round(unverified_s, 1),
             successor=successor,
         )
         return successor
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -26,7 +26,7 @@
 from wharftiller.daemons.sessions.leadership.lease_revocation import LeaseRevoker
 from wharftiller.daemons.sessions.leadership.record_writer import RecordWriter
 from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
-from wharftiller.daemons.sessions.leadership.verification import DoubtedPrimaries
+from wharftiller.daemons.sessions.leadership.verification import UnverifiedPrimaries
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.box_server import BoxServer
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
@@ -190,7 +190,7 @@
             writer,
             successors,
             changes,
-            DoubtedPrimaries(self.state, writer, successors),
+            UnverifiedPrimaries(self.state, writer, successors),
         )
         self._isolation = IsolationWatch(self.state, self._directory, self.sessions)
         self._feeds = feeds(self.state, self._missed_change_found)
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -174,7 +174,7 @@
             case FailingOver():
                 # Decided within moments, or else a silent box's lease is waited for.
                 return now - self._record_at < RECORD_EXPECTED_S
-            case Leading(is_doubted=True):
+            case Leading(is_unverified=True):
                 return False
             case Leading(endpoint):
                 row = self.endpoints.rows.get(endpoint)
@@ -194,8 +194,8 @@
             case FailingOver(planned=planned, ordered=ordered):
                 since = self._record_at if self._changing_since is None else self._changing_since
                 return PrimaryOutlook(now - since, planned or ordered)
-            case Leading(is_doubted=True):
-                return PrimaryOutlook(doubted_s=now - self._record_at)
+            case Leading(is_unverified=True):
+                return PrimaryOutlook(unverified_s=now - self._record_at)
             case Leading(endpoint) if endpoint in self.endpoints.rows:
                 silent_at = self.endpoints.rows[endpoint].unreachable_since
                 return PrimaryOutlook(silent_s=None if silent_at is None else now - silent_at)
--- a/wharftiller/edges/leadership_json.py
+++ b/wharftiller/edges/leadership_json.py
@@ -39,7 +39,7 @@
 
 def _leading_to_json(leading: Leading) -> dict[str, Any]:
     value: dict[str, Any] = {"endpoint": leading.endpoint, "term": leading.term}
-    if leading.is_doubted:
+    if leading.is_unverified:
         value["doubted"] = True
     return value
 
@@ -71,8 +71,8 @@
 
 
 def _group_from_json(value: Any) -> GroupLeadership:
-    is_doubted = value.get("doubted") is True
-    old = Leading(str(value["endpoint"]), int(value["term"]), is_doubted)
+    is_unverified = value.get("doubted") is True
+    old = Leading(str(value["endpoint"]), int(value["term"]), is_unverified)
     if "successor" not in value:
         return old
     return FailingOver(old, str(value["successor"]), bool(value["planned"]), bool(value["ordered"]))
--- a/wharftiller/tests/core/leadership/histories.py
+++ b/wharftiller/tests/core/leadership/histories.py
@@ -19,7 +19,7 @@
 from wharftiller.core.leadership.failover import TAKE_OVER_S
 from wharftiller.core.leadership.lease import LEASE_S, LISTING_S, RoundAnswer, holds_no_lease
 from wharftiller.core.leadership.record import FailingOver, LeadershipRecord, Leading
-from wharftiller.core.leadership.verification import DoubtEvidence, choose_successor
+from wharftiller.core.leadership.verification import VerificationEvidence, choose_successor
 from wharftiller.tests.core.leadership.model_endpoints import ModelEndpoints
 from wharftiller.tests.core.leadership.model_platform import ModelPlatform
 from wharftiller.tests.core.leadership.weak_table import Rules, WeakTable
@@ -286,10 +286,10 @@
         if believed.revision != self._platform.record.revision or not self._reaches_platform(box):
             return
         if GROUP in box.table.surely_led(self.now):
-            sure = attrs.evolve(believed.doubted[GROUP], is_doubted=False)
+            sure = attrs.evolve(believed.doubted[GROUP], is_unverified=False)
             box.table.adopt(self._replace_record(believed.with_group(GROUP, sure)))
             return
-        evidence = DoubtEvidence(
+        evidence = VerificationEvidence(
             self._endpoints.statuses(self.now),
             self._endpoints.silent(self.now),
             frozenset(),
--- a/wharftiller/tests/core/leadership/test_lease.py
+++ b/wharftiller/tests/core/leadership/test_lease.py
@@ -275,7 +275,7 @@
         fresh.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
         written = fresh.to_write_back(1.1 + UNSETTLED_S)
         assert written is not None
-        assert written.doubted == {GROUP: Leading("one", is_doubted=True)}
+        assert written.doubted == {GROUP: Leading("one", is_unverified=True)}
         at = 2.0 + UNSETTLED_S
         fresh.read(attrs.evolve(written, revision=10), at)
         assert fresh.lease(GROUP, at) is None
@@ -287,7 +287,7 @@
         """It may have ended, and another begun, in the seconds that were lost."""
         moving = FailingOver(Leading("one", 4), "two", planned=False, ordered=True)
         written = record(9, moving).confirmed_at(9, ())
-        assert written.doubted == {GROUP: Leading("one", 4, is_doubted=True)}
+        assert written.doubted == {GROUP: Leading("one", 4, is_unverified=True)}
         assert written.moving == {}
 
     def test_no_number_of_an_earlier_restoration_is_given_out_again(self) -> None:
--- a/wharftiller/tests/core/leadership/test_verification.py
+++ b/wharftiller/tests/core/leadership/test_verification.py
@@ -8,13 +8,13 @@
 from wharftiller.core.leadership.record import Leading
 from wharftiller.core.leadership.verification import (
     ORDERS_EFFECT_S,
-    DoubtEvidence,
+    VerificationEvidence,
     choose_successor,
 )
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.sessions.statements import EndpointStatus
 
-RECORDED = Leading("one", 1, is_doubted=True)
+RECORDED = Leading("one", 1, is_unverified=True)
 
 
 def status(term: int, index: int, *, leads: bool = False) -> EndpointStatus:
@@ -29,8 +29,10 @@
 }
 
 
-def evidence(statuses: dict[str, EndpointStatus], *silent: str, **changes: object) -> DoubtEvidence:
-    known = DoubtEvidence(
+def evidence(
+    statuses: dict[str, EndpointStatus], *silent: str, **changes: object
+) -> VerificationEvidence:
+    known = VerificationEvidence(
         statuses, frozenset(silent), frozenset(), ORDERS_EFFECT_S, is_settled=False
     )
     return attrs.evolve(known, **changes)  # type: ignore[arg-type]
@@ -45,7 +47,7 @@
         assert choose_successor(RECORDED, evidence(REPLACED)) == "two"
 
     def test_orders_from_before_may_still_take_effect(self) -> None:
-        early = evidence(STILL_LED, doubted_s=ORDERS_EFFECT_S - 0.1)
+        early = evidence(STILL_LED, unverified_s=ORDERS_EFFECT_S - 0.1)
         assert choose_successor(RECORDED, early) is None
 
     def test_nobody_leads_the_newest_term(self) -> None:
--- a/wharftiller/tests/core/sessions/test_retry_after.py
+++ b/wharftiller/tests/core/sessions/test_retry_after.py
@@ -29,8 +29,8 @@
             (PrimaryOutlook(silent_s=0.5), Cause.PRIMARY_SILENT, UNREACHABLE_S + CHANGE_S - 0.5),
             (PrimaryOutlook(silent_s=5.0), Cause.PRIMARY_SILENT, 2.0 + LEASE_S + CHANGE_S - 5.0),
             (PrimaryOutlook(), Cause.NO_LEASE, 0.3),
-            (PrimaryOutlook(doubted_s=1.0), Cause.NO_LEASE, ORDERS_EFFECT_S + CHANGE_S - 1.0),
-            (PrimaryOutlook(doubted_s=9.0), Cause.NO_LEASE, UNSETTLED_S + CHANGE_S - 9.0),
+            (PrimaryOutlook(unverified_s=1.0), Cause.NO_LEASE, ORDERS_EFFECT_S + CHANGE_S - 1.0),
+            (PrimaryOutlook(unverified_s=9.0), Cause.NO_LEASE, UNSETTLED_S + CHANGE_S - 9.0),
         ],
     )
     def test_the_time_is_what_is_left_of_what_is_known(
