--- a/wharftiller/core/leadership/lease.py
+++ b/wharftiller/core/leadership/lease.py
@@ -102,7 +102,7 @@
 
 
 @attrs.frozen
-class RoundAnswer:
+class RenewalReply:
     """Another box's answer in a round.
 
     Attributes
@@ -266,7 +266,7 @@
         self.boxes = frozenset(boxes) | kept
         self.boxes_listed_at = max(self.boxes_listed_at, asked_at)
 
-    def round_ended(self, answers: Iterable[RoundAnswer], asked_at: float) -> bool:
+    def renewal_ended(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
         """Take in a round's answers; return whether it renewed the leases."""
         answered: set[str] = set()
         for answer in answers:
--- a/wharftiller/daemons/sessions/in_flight.py
+++ b/wharftiller/daemons/sessions/in_flight.py
@@ -12,14 +12,14 @@
 
 
 @attrs.define
-class _GroupWork:
+class _GroupInFlight:
     """What is under way in one group."""
 
     writes: int = 0
     transactions: int = 0
 
 
-class WorkUnderWay:
+class InFlightWork:
     """Counts what a planned change of primary waits for.
 
     Parameters
@@ -30,7 +30,7 @@
 
     def __init__(self, changed: Callable[[], None]) -> None:
         self._changed = changed
-        self._groups: dict[str, _GroupWork] = collections.defaultdict(_GroupWork)
+        self._groups: dict[str, _GroupInFlight] = collections.defaultdict(_GroupInFlight)
 
     def transaction_began(self, group: str) -> None:
         """Count a transaction that may write and is open on the primary."""
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -15,7 +15,7 @@
 
 from wharftiller.core.errors import BadRequestError, ExchangeError
 from wharftiller.core.leadership.failover import takeover_rank
-from wharftiller.core.leadership.lease import RoundAnswer
+from wharftiller.core.leadership.lease import RenewalReply
 from wharftiller.core.rendezvous import ranked
 from wharftiller.core.sessions.probe_outcomes import SignOfLife
 from wharftiller.core.sessions.state_versions import Knowledge
@@ -38,13 +38,13 @@
 """Times a box is asked whether it lives before its process counts as ended."""
 
 
-ROUND_S = 1.0
+RENEWAL_S = 1.0
 """Time between rounds, in seconds: a lease of 6 s survives four that fail."""
 
 REPLIES_KEPT_S = 5.0
 """Time for which a round's answers say who lives, in seconds."""
 
-ROUND_TIMEOUT_S = 0.7
+RENEWAL_TIMEOUT_S = 0.7
 """Time a box has to answer in a round, in seconds."""
 
 RELEASE_TIMEOUT_S = 1.5
@@ -69,7 +69,7 @@
         The primaries that it hears.
     """
 
-    answer: RoundAnswer
+    answer: RenewalReply
     platform_answers: bool
     incarnation: str
     knowledge: Knowledge
@@ -186,7 +186,7 @@
         self._note_contact(boxes, replies)
         answers = [reply.answer for reply in replies.values()]
         before = self._state.leases.record.revision
-        renewed = self._state.leases.round_ended(answers, asked_at)
+        renewed = self._state.leases.renewal_ended(answers, asked_at)
         if renewed or self._state.leases.record.revision != before:
             self._state.wake()
         return renewed
@@ -206,7 +206,7 @@
         revision = self._state.leases.record.revision
         question = {"box": self._state.box, "revision": revision, "check": check}
         try:
-            value = await self.post(box, "/peer/round", question, ROUND_TIMEOUT_S)
+            value = await self.post(box, "/peer/round", question, RENEWAL_TIMEOUT_S)
             return self._take_reply(box, value, asked_at)
         except (ExchangeError, BadRequestError) as error:
             self._state.log.event("box_did_not_answer", other=box.name, why=str(error))
@@ -218,7 +218,7 @@
             if value["record"] is not None:
                 record = record_from_json(value["record"], value["revision"])
             self._state.positions.take(value["points"], asked_at)
-            answer = RoundAnswer(box.name, bool(value["read"]), record)
+            answer = RenewalReply(box.name, bool(value["read"]), record)
             hears = frozenset(map(str, value["hears"]))
             read_at = asked_at - int(value["read_age_ms"]) / 1000
             self.platform_read_at = max(self.platform_read_at, read_at)
@@ -354,7 +354,7 @@
     async def _tell(self, path: str, body: Any, boxes: list[Box] | None = None) -> None:
         async def tell(box: Box) -> None:
             try:
-                await self.post(box, path, body, ROUND_TIMEOUT_S)
+                await self.post(box, path, body, RENEWAL_TIMEOUT_S)
             except ExchangeError as error:
                 self._state.log.event("box_not_told", other=box.name, what=path, why=str(error))
 
--- a/wharftiller/daemons/sessions/membership/lease_renewal.py
+++ b/wharftiller/daemons/sessions/membership/lease_renewal.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from wharftiller.daemons.sessions.membership.boxes import ROUND_S
+from wharftiller.daemons.sessions.membership.boxes import RENEWAL_S
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -16,14 +16,14 @@
     from wharftiller.daemons.sessions.membership.readers import ReaderClient
     from wharftiller.daemons.sessions.state import SharedState
 
-ROUNDS_AFTER_S = 2.5
+RENEWALS_AFTER_S = 2.5
 """Age of the newest read from which boxes of a large deployment make rounds, in seconds.
 
 Less than half of the lease (6 s): several rounds fit in before it runs out.
 """
 
 
-ROUNDS_APART_S = 2.0
+RENEWALS_APART_S = 2.0
 """Time between the rounds of a large deployment's outage, in seconds.
 
 A lease of 6 s survives one that fails. With a second between them and every box making them,
@@ -32,7 +32,7 @@
 """
 
 
-class LeaseRounds:
+class LeaseRenewer:
     """Asks the other boxes, or a reader among them, once in a while.
 
     Parameters
@@ -72,7 +72,7 @@
             elif self._directory.boxes:
                 self._renewed = await self._directory.round()
                 self._neighbours.learn_newer()
-            with trio.move_on_after(ROUND_S):
+            with trio.move_on_after(RENEWAL_S):
                 await self._state.check_soon.wait()
 
     async def _renew_by_reader(self) -> bool:
@@ -83,12 +83,12 @@
             self._readers.newer_at = None
         elif renewed:
             self._neighbours.nothing_lacks()
-        if trio.current_time() - self._directory.platform_read_at > ROUNDS_AFTER_S:
+        if trio.current_time() - self._directory.platform_read_at > RENEWALS_AFTER_S:
             await self._ask_in_outage()
         return renewed
 
     async def _ask_in_outage(self) -> None:
         """Ask everybody, if this box needs leases; else only those who hear news first."""
         among = None if self._may_run() else self._readers.followers()
-        await self._directory.round(no_older_than_s=ROUNDS_APART_S, among=among)
+        await self._directory.round(no_older_than_s=RENEWALS_APART_S, among=among)
         self._neighbours.learn_newer()
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -19,7 +19,7 @@
 from wharftiller.core.sessions.state_versions import Knowledge
 from wharftiller.daemons.sessions.interfaces import SharedListing
 from wharftiller.daemons.sessions.membership.box import Box
-from wharftiller.daemons.sessions.membership.boxes import ROUND_TIMEOUT_S
+from wharftiller.daemons.sessions.membership.boxes import RENEWAL_TIMEOUT_S
 from wharftiller.edges.leadership_json import record_from_json, record_to_json
 
 if TYPE_CHECKING:
@@ -248,7 +248,7 @@
             "list_revision": self._list_revision,
         }
         try:
-            value = await self._directory.post(reader, "/peer/read", question, ROUND_TIMEOUT_S)
+            value = await self._directory.post(reader, "/peer/read", question, RENEWAL_TIMEOUT_S)
             return self._take_answer(reader, value, asked_at)
         except (ExchangeError, BadRequestError) as error:
             self._state.log.event("reader_did_not_answer", other=reader.name, why=str(error))
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -13,7 +13,7 @@
     from wharftiller.daemons.sessions.interfaces import Feeds, SharedListing, SharedObjects
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRounds
+    from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRenewer
     from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
     from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
     from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
@@ -58,7 +58,7 @@
         readers: ReaderClient,
         desk: ReaderDesk,
         retirement: BoxRetirement,
-        rounds: LeaseRounds,
+        rounds: LeaseRenewer,
         neighbours: Neighbours,
         feeds: Feeds,
         pace: ReadPace,
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -31,7 +31,7 @@
 from wharftiller.daemons.sessions.membership.box_server import BoxServer
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.daemons.sessions.membership.isolation import IsolationWatch
-from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRounds
+from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRenewer
 from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
 from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
 from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
@@ -194,7 +194,7 @@
         )
         self._isolation = IsolationWatch(self.state, self._directory, self.sessions)
         self._feeds = feeds(self.state, self._missed_change_found)
-        self._rounds = LeaseRounds(
+        self._rounds = LeaseRenewer(
             self.state,
             self._directory,
             readers,
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -15,7 +15,7 @@
 from wharftiller.core.sessions.state_versions import Knowledge
 from wharftiller.core.sessions.statements import EndpointQuery, RefusalKind, Rollback
 from wharftiller.daemons.sessions.endpoint_table import EndpointTable
-from wharftiller.daemons.sessions.in_flight import WorkUnderWay
+from wharftiller.daemons.sessions.in_flight import InFlightWork
 from wharftiller.daemons.sessions.primary_positions import PrimaryPositions
 
 if TYPE_CHECKING:
@@ -97,7 +97,7 @@
         self.figures = Figures()
         self.endpoints = EndpointTable(dialer, log, self.figures, self.wake)
         self.positions = PrimaryPositions(self.leases)
-        self.work = WorkUnderWay(self.wake)
+        self.work = InFlightWork(self.wake)
         self.check_soon = trio.Event()
         self.serves_group: Callable[[str], bool] = lambda group: True
         self.told_usable: dict[str, bool] = {}
--- a/wharftiller/tests/core/leadership/histories.py
+++ b/wharftiller/tests/core/leadership/histories.py
@@ -17,7 +17,7 @@
 import attrs
 
 from wharftiller.core.leadership.failover import TAKE_OVER_S
-from wharftiller.core.leadership.lease import LEASE_S, LISTING_S, RoundAnswer, holds_no_lease
+from wharftiller.core.leadership.lease import LEASE_S, LISTING_S, RenewalReply, holds_no_lease
 from wharftiller.core.leadership.record import FailingOver, LeadershipRecord, Leading
 from wharftiller.core.leadership.verification import VerificationEvidence, choose_successor
 from wharftiller.tests.core.leadership.model_endpoints import ModelEndpoints
@@ -198,20 +198,20 @@
     def _round_now(self, box: ModelBox) -> None:
         self._at(1.0, lambda: self._round(box))
         asked_at = self.now
-        answers: list[RoundAnswer] = []
+        answers: list[RenewalReply] = []
         for other in self.boxes:
             if other is box or other.dead or other.frozen_until > self.now:
                 continue
             if self._connected(box, other):
                 other.answered_at[box.name] = self.now
                 answers.append(
-                    RoundAnswer(other.name, other.table.read_from_platform, other.table.record)
+                    RenewalReply(other.name, other.table.read_from_platform, other.table.record)
                 )
         delay = self._random.uniform(0, 0.5)
         self._at(delay, lambda: self._later(box, lambda: self._round_ends(box, answers, asked_at)))
 
-    def _round_ends(self, box: ModelBox, answers: list[RoundAnswer], asked_at: float) -> None:
-        box.table.round_ended(answers, asked_at if self._rules.asked_time_counts else self.now)
+    def _round_ends(self, box: ModelBox, answers: list[RenewalReply], asked_at: float) -> None:
+        box.table.renewal_ended(answers, asked_at if self._rules.asked_time_counts else self.now)
 
     # Trouble ------------------------------------------------------------
 
--- a/wharftiller/tests/core/leadership/test_lease.py
+++ b/wharftiller/tests/core/leadership/test_lease.py
@@ -13,7 +13,7 @@
     LISTING_S,
     UNSETTLED_S,
     LeaseTable,
-    RoundAnswer,
+    RenewalReply,
     holds_no_lease,
 )
 from wharftiller.core.leadership.record import LOST_MOST, FailingOver, LeadershipRecord, Leading
@@ -28,8 +28,8 @@
     return LeadershipRecord(revision, 1, "box-1/x", "a", {GROUP: state})
 
 
-def answer(box: str, revision: int = 1, *, read: bool = True) -> RoundAnswer:
-    return RoundAnswer(box, read, record(revision, Leading("one")))
+def answer(box: str, revision: int = 1, *, read: bool = True) -> RenewalReply:
+    return RenewalReply(box, read, record(revision, Leading("one")))
 
 
 @pytest.fixture
@@ -47,26 +47,26 @@
         assert not table.may_acknowledge(GROUP, "two", 1.0)
 
     def test_a_round_of_every_box_renews(self, table: LeaseTable) -> None:
-        assert table.round_ended([answer("box-2"), answer("box-3")], 3.0)
+        assert table.renewal_ended([answer("box-2"), answer("box-3")], 3.0)
         assert table.may_acknowledge(GROUP, "one", 3.0 + LEASE_S - 0.01)
 
     def test_a_round_with_a_silent_box_does_not(self, table: LeaseTable) -> None:
-        assert not table.round_ended([answer("box-2")], 3.0)
+        assert not table.renewal_ended([answer("box-2")], 3.0)
         assert not table.may_acknowledge(GROUP, "one", LEASE_S)
 
     def test_a_restarted_box_that_has_not_read_does_not_count(self, table: LeaseTable) -> None:
-        assert not table.round_ended([answer("box-2"), answer("box-3", read=False)], 3.0)
+        assert not table.renewal_ended([answer("box-2"), answer("box-3", read=False)], 3.0)
 
     def test_a_round_with_an_old_list_does_not_count(self, table: LeaseTable) -> None:
         at = LISTING_S
         table.read(record(1, Leading("one")), at - 1)
-        assert not table.round_ended([answer("box-2"), answer("box-3")], at)
+        assert not table.renewal_ended([answer("box-2"), answer("box-3")], at)
 
     def test_a_round_without_other_boxes_does_not_count(self) -> None:
         table = LeaseTable()
         table.listed([], 0.0)
         table.read(record(1, Leading("one")), 0.0)
-        assert not table.round_ended([], 1.0)
+        assert not table.renewal_ended([], 1.0)
 
 
 class TestChanges:
@@ -251,7 +251,7 @@
     ) -> None:
         stood = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
         table.read(stood, 1.0)
-        assert table.round_ended([answer("box-2"), answer("box-3")], 2.0)
+        assert table.renewal_ended([answer("box-2"), answer("box-3")], 2.0)
         confirmed = table.to_write_back(2.5)
         assert confirmed is not None
         assert confirmed.revision == 9
@@ -266,7 +266,7 @@
         for each in (table, fresh):
             each.listed(["box-2", "box-3"], 1.0)
             each.read(stood, 1.0)
-            assert each.round_ended([answer("box-2"), answer("box-3")], 2.0)
+            assert each.renewal_ended([answer("box-2"), answer("box-3")], 2.0)
         assert table.may_acknowledge(GROUP, "one", 2.0 + LEASE_S - 0.01)
         assert fresh.lease(GROUP, 2.1) is None
 
@@ -299,7 +299,7 @@
 
     def test_a_silent_box_delays_the_confirmation(self, table: LeaseTable) -> None:
         table.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
-        assert not table.round_ended([answer("box-2")], 2.0)
+        assert not table.renewal_ended([answer("box-2")], 2.0)
         assert table.to_write_back(1.0 + UNSETTLED_S) is None
         assert table.to_write_back(1.1 + UNSETTLED_S) is not None
         assert not table.is_settled(1.1 + UNSETTLED_S)
--- a/wharftiller/tests/core/leadership/weak_table.py
+++ b/wharftiller/tests/core/leadership/weak_table.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from wharftiller.core.leadership.lease import LISTING_S, LeaseTable, RoundAnswer
+from wharftiller.core.leadership.lease import LISTING_S, LeaseTable, RenewalReply
 from wharftiller.core.leadership.record import LeadershipRecord, Leading
 
 
@@ -65,7 +65,7 @@
         """Return whether checks begin no lease; without the rule all of them may."""
         return self.rules.copies_are_doubted and super()._only_extends(state)
 
-    def round_ended(self, answers: Iterable[RoundAnswer], asked_at: float) -> bool:
+    def renewal_ended(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
         """Renew by a round, under weaker rules where some are taken out."""
         answers = list(answers)
         for answer in answers:
