--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -11,7 +11,7 @@
 """Detection time at that size, in seconds; leaves the rest of 12 s for the promotion."""
 
 PROBE_S = DETECT_S * 0.2
-REPLICA_PACE = 5
+REPLICA_INTERVAL = 5
 GATEWAY_HEARTBEAT_S = 10.0
 """Planned pace of a home's reports while its group is idle, in seconds."""
 
@@ -102,9 +102,9 @@
         / scale.daemons
     )
     replicas = scale.servers_per_group - 1
-    reports = watched / PROBE_S * (1 + replicas / REPLICA_PACE)
+    reports = watched / PROBE_S * (1 + replicas / REPLICA_INTERVAL)
     # Today's pace of the slope: a third of the servers lead, the others are asked a fifth as often.
-    today = 5 * (1 + 2 / REPLICA_PACE) / 3
+    today = 5 * (1 + 2 / REPLICA_INTERVAL) / 3
     report_s = slopes["steward core share per server at today's pace"] / today
     bytes_per_s = reports * slopes["report bytes"]
     change_bytes = scale.changes_per_s * slopes["change bytes sent"]
--- a/wharftiller/core/leadership/read_schedule.py
+++ b/wharftiller/core/leadership/read_schedule.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class ReadPace:
+class ReadIntervals:
     """How often the platform is read, so that a configuration is in force in time.
 
     Attributes
@@ -64,7 +64,7 @@
     known_s: float
 
     @classmethod
-    def within(cls, bounds: PlatformBounds) -> ReadPace:
+    def within(cls, bounds: PlatformBounds) -> ReadIntervals:
         """Return the pace that keeps the platform's bounds."""
         in_force_s = bounds.configuration_in_force_s
         reader_s = min(READER_READS_S, READER_READS_PART * in_force_s)
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class ReadingView:
+class ReadScheduleInputs:
     """What a box knows when it decides whether to read.
 
     Attributes
@@ -105,7 +105,7 @@
     is_asked: bool = True
 
 
-def read_is_due(view: ReadingView, pace: ReadPace) -> bool:
+def read_is_due(view: ReadScheduleInputs, pace: ReadIntervals) -> bool:
     """Return whether to read now."""
     if view.by_data_centre and not view.platform_answers and not view.is_asked:
         return view.since_s >= AWAY_READ_S
--- a/wharftiller/core/steward.py
+++ b/wharftiller/core/steward.py
@@ -36,7 +36,7 @@
 PROBE_PART = 0.2
 """Time between two reports of a primary, as a part of the time to detect its loss."""
 
-REPLICA_PACE = 5
+REPLICA_INTERVAL = 5
 """A replica of a primary that leads is asked so many times less often."""
 
 PAUSE_S = 0.6
@@ -195,7 +195,7 @@
         """
         probe_s = self._tables.detect_s * PROBE_PART
         led = now - group.led_at <= 2 * probe_s and isinstance(group.step, Watching)
-        return probe_s * REPLICA_PACE if led and name != group.primary else probe_s
+        return probe_s * REPLICA_INTERVAL if led and name != group.primary else probe_s
 
     def _notice_pause(self, now: float) -> None:
         """After a pause of this process, give every primary a fresh chance to answer."""
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -7,7 +7,7 @@
 import trio
 
 from wharftiller.core.errors import PlatformUnavailableError
-from wharftiller.core.leadership.read_schedule import ReadingView, ReadPace, read_is_due
+from wharftiller.core.leadership.read_schedule import ReadIntervals, ReadScheduleInputs, read_is_due
 
 if TYPE_CHECKING:
     from wharftiller.daemons.sessions.interfaces import Feeds, SharedListing, SharedObjects
@@ -61,7 +61,7 @@
         rounds: LeaseRenewer,
         neighbours: Neighbours,
         feeds: Feeds,
-        pace: ReadPace,
+        pace: ReadIntervals,
         first_start: bool,
     ) -> None:
         self._state = state
@@ -96,9 +96,9 @@
             while not read_is_due(self._view(started), self._pace):
                 await trio.sleep(LOOK_S)
 
-    def _view(self, tried_at: float) -> ReadingView:
+    def _view(self, tried_at: float) -> ReadScheduleInputs:
         now = trio.current_time()
-        return ReadingView(
+        return ReadScheduleInputs(
             since_s=now - tried_at,
             misses_lease=self._state.leases.misses_lease(now),
             by_data_centre=self._readers.applies,
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -9,7 +9,7 @@
 import trio
 
 from wharftiller.core.errors import PlatformUnavailableError, UnknownPathError
-from wharftiller.core.leadership.read_schedule import ReadPace
+from wharftiller.core.leadership.read_schedule import ReadIntervals
 from wharftiller.daemons.sessions.allowances.rate_limiter import RateLimiter
 from wharftiller.daemons.sessions.allowances.token_client import TokenClient
 from wharftiller.daemons.sessions.allowances.token_server import TokenServer
@@ -214,7 +214,7 @@
             self._rounds,
             self._neighbours,
             self._feeds,
-            ReadPace.within(identity.bounds),
+            ReadIntervals.within(identity.bounds),
             identity.first_start,
         )
         self._unready = False
--- a/wharftiller/tests/core/leadership/test_read_schedule.py
+++ b/wharftiller/tests/core/leadership/test_read_schedule.py
@@ -10,14 +10,14 @@
     MISSING_LEASE_READ_S,
     READER_READS_S,
     SHARED_READ_S,
-    ReadingView,
-    ReadPace,
+    ReadIntervals,
+    ReadScheduleInputs,
     read_is_due,
 )
 from wharftiller.core.sessions.bounds import PlatformBounds
 
-PACE = ReadPace.within(PlatformBounds())
-CALM = ReadingView(
+PACE = ReadIntervals.within(PlatformBounds())
+CALM = ReadScheduleInputs(
     since_s=2.0,
     misses_lease=False,
     by_data_centre=False,
@@ -62,6 +62,6 @@
 
     @pytest.mark.parametrize("in_force_s", [0.5, 1.5, 3.0, 6.0])
     def test_a_change_is_known_in_time_whoever_reads(self, in_force_s: float) -> None:
-        pace = ReadPace.within(PlatformBounds(configuration_in_force_s=in_force_s))
+        pace = ReadIntervals.within(PlatformBounds(configuration_in_force_s=in_force_s))
         assert pace.reader_s + pace.known_s < in_force_s
         assert pace.reader_s <= READER_READS_S
