--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -307,7 +307,7 @@
         if self.database.follow(term, body["common"], records):
             self._log_changed()
 
-    async def hear_primary(self) -> None:
+    async def monitor_primary(self) -> None:
         """Learn for ever whether the primary that is followed still leads."""
         while True:
             await trio.sleep(HEARTBEAT_S)
@@ -383,5 +383,5 @@
         bound = await nursery.start(transport.serve, address, endpoint.statement_stream)
         control = await nursery.start(transport.serve, control_address, endpoint.control_stream)
         nursery.start_soon(endpoint.replicate)
-        nursery.start_soon(endpoint.hear_primary)
+        nursery.start_soon(endpoint.monitor_primary)
         task_status.started((bound, control))
--- a/wharftiller/core/detection.py
+++ b/wharftiller/core/detection.py
@@ -22,7 +22,7 @@
 def _heard(tables: WatchTables, name: str, now: float) -> bool:
     server = tables.servers[name]
     recent_s = tables.detect_s * RECENT_PART
-    return server.report is not None and now - server.heard_at <= recent_s
+    return server.report is not None and now - server.last_contact_at <= recent_s
 
 
 def primary_is_lost(tables: WatchTables, group: WatchedGroup, now: float, delay: float) -> bool:
--- a/wharftiller/core/sessions/allowances/token_allocator.py
+++ b/wharftiller/core/sessions/allowances/token_allocator.py
@@ -11,7 +11,7 @@
 from wharftiller.core.sessions.allowances.bounds import TOKEN_LIFE_S, bucket_size, own_share
 from wharftiller.core.sessions.allowances.buckets import TokenBucket
 from wharftiller.core.sessions.allowances.shares import AllowanceShare
-from wharftiller.core.sessions.probe_outcomes import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import ProbeOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -207,15 +207,15 @@
         """Return the boxes that keep the workspace's bucket rather than this one."""
         return self._history.before(workspace)
 
-    def note_sign(self, name: str, sign: SignOfLife, now: float) -> None:
+    def note_probe(self, name: str, sign: ProbeOutcome, now: float) -> None:
         """Note what a box that this one is asked in place of made of a question."""
         known = self._lives.get(name)
         match sign:
-            case SignOfLife.ANSWERED:
+            case ProbeOutcome.ANSWERED:
                 until = now + SILENCE_S
-            case SignOfLife.REFUSED:
+            case ProbeOutcome.REFUSED:
                 until = now
-            case SignOfLife.SILENT:
+            case ProbeOutcome.SILENT:
                 was_asked_lately = known is not None and now - known.asked_at < SILENCE_S
                 until = known.until if known and was_asked_lately else now + SILENCE_S
         self._lives[name] = _Lives(until, now)
--- a/wharftiller/core/sessions/endpoints.py
+++ b/wharftiller/core/sessions/endpoints.py
@@ -48,7 +48,7 @@
     ----------
     owed : dict of int to float
         Send times of the statements not answered yet, by connection number.
-    heard_at : float
+    last_contact_at : float
         When it last answered anything, in seconds.
     unreachable_since : float or None
         Since when nothing has been heard although something was asked.
@@ -65,7 +65,7 @@
     entry: EndpointEntry
     owed: dict[int, float] = attrs.field(factory=dict)
     service_s: float = FIRST_SERVICE_S
-    heard_at: float = -math.inf
+    last_contact_at: float = -math.inf
     unreachable_since: float | None = None
     position: LogPosition | None = None
     position_at: float = -math.inf
@@ -135,7 +135,7 @@
 
     def heard(self, now: float, position: LogPosition | None = None) -> None:
         """Note that it is alive."""
-        self.heard_at = now
+        self.last_contact_at = now
         self.unreachable_since = None
         if position is not None:
             self.position = position
@@ -144,7 +144,7 @@
     def given_up(self, connection: int, now: float) -> None:
         """Note that an answer owed did not come, or not in time."""
         sent_at = self.owed.pop(connection, now)
-        if self.heard_at <= sent_at:
+        if self.last_contact_at <= sent_at:
             self.failed(sent_at)
 
     def failed(self, since: float) -> None:
@@ -163,7 +163,7 @@
             return False
         limit = max(SILENCE_FLOOR_S, SILENCE_FACTOR * self.service_s)
         oldest = min(self.owed.values())
-        return self.heard_at <= oldest and now - oldest > limit
+        return self.last_contact_at <= oldest and now - oldest > limit
 
     def is_suspect(self, now: float) -> bool:
         """Return whether nothing new should be sent to it if another will do."""
--- a/wharftiller/core/sessions/probe_outcomes.py
+++ b/wharftiller/core/sessions/probe_outcomes.py
@@ -5,7 +5,7 @@
 import enum
 
 
-class SignOfLife(enum.Enum):
+class ProbeOutcome(enum.Enum):
     """What came of a question.
 
     Attributes
--- a/wharftiller/core/steward.py
+++ b/wharftiller/core/steward.py
@@ -128,7 +128,7 @@
         if server is None:
             return
         server.report = report
-        server.heard_at = now
+        server.last_contact_at = now
         group = self._tables.groups[server.group]
         leads = report.role is Role.PRIMARY and report.settled
         if leads and report.promised >= group.term:
@@ -156,7 +156,7 @@
             for endpoint in spec.endpoints:
                 row = tables.servers.get(endpoint.name)
                 if row is None:
-                    row = WatchedServer(endpoint.name, spec.name, "", False, heard_at=now)
+                    row = WatchedServer(endpoint.name, spec.name, "", False, last_contact_at=now)
                     tables.servers[endpoint.name] = row
                 row.control_address = endpoint.control_address
                 row.leaving = endpoint.leaving
--- a/wharftiller/core/watch_tables.py
+++ b/wharftiller/core/watch_tables.py
@@ -101,7 +101,7 @@
 
     Attributes
     ----------
-    heard_at : float
+    last_contact_at : float
         When its last report arrived, in seconds.
     asked_at : float or None
         When the report that is outstanding was asked for.
@@ -113,7 +113,7 @@
     group: str
     control_address: str
     leaving: bool
-    heard_at: float
+    last_contact_at: float
     report: Report | None = None
     asked_at: float | None = None
     last_asked_at: float = -1e9
--- a/wharftiller/daemons/sessions/allowances/token_server.py
+++ b/wharftiller/daemons/sessions/allowances/token_server.py
@@ -13,7 +13,7 @@
     TokenServerHistory,
     token_server_order,
 )
-from wharftiller.core.sessions.probe_outcomes import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import ProbeOutcome
 from wharftiller.edges.allowances_json import (
     TokenRequest,
     grant_to_json,
@@ -132,9 +132,9 @@
                 self._nursery.start_soon(self._look_at, box)
 
     async def _look_at(self, box: Box) -> None:
-        sign = await self._directory.sign_of_life(box, ANSWER_S)
-        self._keeper.note_sign(box.name, sign, trio.current_time())
-        if sign is not SignOfLife.ANSWERED:
+        sign = await self._directory.probe_outcome(box, ANSWER_S)
+        self._keeper.note_probe(box.name, sign, trio.current_time())
+        if sign is not ProbeOutcome.ANSWERED:
             self._state.log.event("keeper_replaced", other=box.name, sign=sign.value)
 
     async def handle_token_request(self, question: Any) -> dict[str, Any]:
--- a/wharftiller/daemons/sessions/connections/probes.py
+++ b/wharftiller/daemons/sessions/connections/probes.py
@@ -9,7 +9,7 @@
 
 from wharftiller.core.errors import EndpointRefusedError, ExchangeError
 from wharftiller.core.sessions.statements import Demote, EndpointQuery
-from wharftiller.daemons.sessions.membership.boxes import HEARD_RECENT_S
+from wharftiller.daemons.sessions.membership.boxes import CONTACT_RECENT_S
 
 if TYPE_CHECKING:
     from wharftiller.core.sessions.endpoints import EndpointRow
@@ -77,7 +77,7 @@
         """Return whether neither this box nor one that told it heard the primary lately."""
         newest = self._state.positions.of_group(row.entry.group).newest
         told_at = -math.inf if newest is None else newest.at
-        return now - max(row.heard_at, told_at) > QUIET_PRIMARY_S
+        return now - max(row.last_contact_at, told_at) > QUIET_PRIMARY_S
 
     async def check(self, names: list[str]) -> None:
         """Ask those of the endpoints that were not heard lately, for another box.
@@ -89,7 +89,7 @@
         async with trio.open_nursery() as nursery:
             for name in names:
                 row = self._state.endpoints.rows.get(name)
-                if row is None or now - row.heard_at <= HEARD_RECENT_S / 2:
+                if row is None or now - row.last_contact_at <= CONTACT_RECENT_S / 2:
                     continue
                 if not self._state.serves_group(row.entry.group):
                     continue
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -62,7 +62,7 @@
     box: Box
     pool: HttpPool
     owed: dict[trio.CancelScope, float] = attrs.field(factory=dict)
-    heard_at: float = -math.inf
+    last_contact_at: float = -math.inf
     asked_at: float = -math.inf
     lost: bool = False
 
@@ -108,7 +108,7 @@
             if link.lost:
                 raise GatewayLostError(f"{gateway.name}, which ran it, stopped answering")
             raise GatewayLostError(f"{gateway.name} did not answer in time")
-        link.heard_at = trio.current_time()
+        link.last_contact_at = trio.current_time()
         if answer.status != 200:
             detail = f"{gateway.name} could not run it: {answer.body[:80]!r}"
             raise NotSentError(detail) if answer.status in REFUSED_UNREAD else ExchangeError(detail)
@@ -155,7 +155,7 @@
             now = trio.current_time()
             for link in list(self._links.values()):
                 oldest = min(link.owed.values(), default=now)
-                since = max(oldest, link.heard_at, link.asked_at)
+                since = max(oldest, link.last_contact_at, link.asked_at)
                 if now - since > SILENT_S:
                     link.asked_at = now
                     self._nursery.start_soon(self._ask_alive, link)
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -44,7 +44,7 @@
 FIRST_ALL_S = 2.0
 """Time after its start for which a box wants every group in the first record, in seconds."""
 
-HEARD_ELSEWHERE_S = 1.0
+REACHABLE_ELSEWHERE_S = 1.0
 """Time for which a primary that another box hears is left alone, in seconds.
 
 Beside a cut every home on the other side would ask all homes again every 0.15 s.
@@ -187,7 +187,7 @@
         planned = row is not None and must_leave(row, turn, now)
         if planned:
             best = best_candidate(await self._successors.candidates(group, leading.endpoint))
-        elif is_lost(row, turn, now) and not self._was_heard_elsewhere(group, now):
+        elif is_lost(row, turn, now) and not self._was_reachable_elsewhere(group, now):
             best = await self._successor_of_lost(group, leading.endpoint, turn)
         else:
             return None
@@ -214,7 +214,7 @@
 
         async def ask_boxes() -> None:
             nonlocal heard
-            heard = await self._is_heard_elsewhere(group, old, asked)
+            heard = await self._is_reachable_elsewhere(group, old, asked)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask_boxes)
@@ -229,8 +229,8 @@
             self._state.log.event("no_successor", group=group, old=old)
         return best
 
-    def _was_heard_elsewhere(self, group: str, now: float) -> bool:
-        return now - self._heard_elsewhere_at.get(group, -math.inf) < HEARD_ELSEWHERE_S
+    def _was_reachable_elsewhere(self, group: str, now: float) -> bool:
+        return now - self._heard_elsewhere_at.get(group, -math.inf) < REACHABLE_ELSEWHERE_S
 
     def _turn(self, what: str) -> int:
         """Return how many boxes go before this one; those far back go together."""
@@ -241,7 +241,9 @@
             boxes = self._directory.live()
         return min(MAX_RANKS, takeover_rank(self._state.box, boxes, what))
 
-    async def _is_heard_elsewhere(self, group: str, endpoint: str, asked: list[Box] | None) -> bool:
+    async def _is_reachable_elsewhere(
+        self, group: str, endpoint: str, asked: list[Box] | None
+    ) -> bool:
         await self._directory.round(check=(endpoint,), among=asked)
         hearing = [n for n, reply in self._directory.replies.items() if endpoint in reply.hears]
         if hearing:
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -99,7 +99,7 @@
             row = self._state.endpoints.rows.get(moving.old.endpoint)
             if not moving.may_be_called_off or row is None:
                 continue
-            if row.heard_at > won_at:
+            if row.last_contact_at > won_at:
                 self._state.log.change("old_primary_answers", group=group, endpoint=row.name)
                 answering.append(group)
         return answering
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -8,7 +8,7 @@
 
 from wharftiller.core.errors import BadRequestError, UnknownPathError
 from wharftiller.daemons.sessions.allowances.token_client import LOAN_PATH, TOKENS_PATH
-from wharftiller.daemons.sessions.membership.boxes import HEARD_RECENT_S
+from wharftiller.daemons.sessions.membership.boxes import CONTACT_RECENT_S
 from wharftiller.edges.http_server import HttpRequest, HttpResponse
 from wharftiller.edges.leadership_json import record_from_json, record_to_json
 
@@ -146,7 +146,7 @@
             row.name
             for row in rows
             if row.unreachable_since is None
-            and now - row.heard_at < HEARD_RECENT_S
+            and now - row.last_contact_at < CONTACT_RECENT_S
             and self._state.endpoints.way_to(row) is None
         ]
 
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -17,7 +17,7 @@
 from wharftiller.core.leadership.failover import takeover_rank
 from wharftiller.core.leadership.lease import RenewalReply
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.probe_outcomes import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import ProbeOutcome
 from wharftiller.core.sessions.state_versions import Knowledge
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.box_list import BoxList
@@ -53,7 +53,7 @@
 NEVER_READ_S = 3600.0
 """Age told of a read that never was, in seconds."""
 
-HEARD_RECENT_S = 1.0
+CONTACT_RECENT_S = 1.0
 """A primary that answered within this time counts as heard, in seconds."""
 
 
@@ -282,18 +282,18 @@
             return False
         return True
 
-    async def sign_of_life(self, box: Box, timeout_s: float) -> SignOfLife:
+    async def probe_outcome(self, box: Box, timeout_s: float) -> ProbeOutcome:
         """Return what comes of a question to a box."""
         for _ in range(ASKED_AGAIN):
             try:
                 await self._ask_alive(box, timeout_s)
             except NoAnswerInTimeError:
-                return SignOfLife.SILENT
+                return ProbeOutcome.SILENT
             except ExchangeError:
                 # Its end, or only that of the connection: a process that lives takes a new one.
                 continue
-            return SignOfLife.ANSWERED
-        return SignOfLife.REFUSED
+            return ProbeOutcome.ANSWERED
+        return ProbeOutcome.REFUSED
 
     async def _ask_alive(self, box: Box, timeout_s: float) -> None:
         """Ask on a connection of its own: a round on the other may wait for a status."""
--- a/wharftiller/tests/core/sessions/allowances/histories.py
+++ b/wharftiller/tests/core/sessions/allowances/histories.py
@@ -23,7 +23,7 @@
 )
 from wharftiller.core.sessions.allowances.buckets import PREFETCH_S
 from wharftiller.core.sessions.allowances.shares import LoanRequest
-from wharftiller.core.sessions.probe_outcomes import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import ProbeOutcome
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
 
 BOXES = 6
@@ -182,8 +182,8 @@
             return
         self._lists[centre].append((self._now, tuple(sorted(self._live[centre]))))
         for process in self._live[centre].values():
-            heard_at = self._now + process.lag_s
-            self._at(heard_at, lambda p=process: self._hear(centre, p))  # type: ignore[misc]
+            seen_at = self._now + process.lag_s
+            self._at(seen_at, lambda p=process: self._hear(centre, p))  # type: ignore[misc]
 
     def _hear(self, centre: int, process: Process) -> None:
         process.history.note(self._view(centre, process), self._now)
@@ -263,12 +263,12 @@
     def _look_at_keeper(self, centre: int, asked: Process) -> None:
         """Have a box that is asked in place of a keeper learn whether that one lives."""
         for name in asked.keeper.before("rila"):
-            sign = SignOfLife.ANSWERED
+            sign = ProbeOutcome.ANSWERED
             if name not in self._live[centre]:
-                sign = SignOfLife.REFUSED
+                sign = ProbeOutcome.REFUSED
             elif self._is_slow(centre, name) and not self._drawn(SLOW_ANSWERS):
-                sign = SignOfLife.SILENT
-            asked.keeper.note_sign(name, sign, self._now)
+                sign = ProbeOutcome.SILENT
+            asked.keeper.note_probe(name, sign, self._now)
 
     def _is_slow(self, centre: int, name: str) -> bool:
         if not SLOW_AT_S <= self._now < SLOW_AT_S + self._story.slow_s:
--- a/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
+++ b/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
@@ -26,7 +26,7 @@
     SILENCE_S,
     STANDBY_FRACTION,
 )
-from wharftiller.core.sessions.probe_outcomes import SignOfLife
+from wharftiller.core.sessions.probe_outcomes import ProbeOutcome
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
 from wharftiller.tests.core.sessions.allowances.histories import (
     CENTRES,
@@ -220,31 +220,31 @@
         history.note(("one", "two"), 0.0)
         return TokenAllocator(BOUNDS, history)
 
-    def granted(self, keeper: TokenAllocator, signs: SignOfLife) -> int:
+    def granted(self, keeper: TokenAllocator, signs: ProbeOutcome) -> int:
         """Return what it grants within a window while the first box gives ``signs``."""
         total = 0
         for tenth in range(int(BOUNDS.window_s * 10)):
-            keeper.note_sign(self.FIRST, signs, tenth / 10)
+            keeper.note_probe(self.FIRST, signs, tenth / 10)
             total += keeper.grant(self.RILA, 20, 0, tenth / 10).tokens
         return total
 
     @pytest.mark.parametrize(
         ("signs", "least", "most"),
         [
-            (SignOfLife.ANSWERED, 0.05, STANDBY_FRACTION),
-            (SignOfLife.REFUSED, 0.7, 1.0),
-            (SignOfLife.SILENT, 0.4, 0.8),
+            (ProbeOutcome.ANSWERED, 0.05, STANDBY_FRACTION),
+            (ProbeOutcome.REFUSED, 0.7, 1.0),
+            (ProbeOutcome.SILENT, 0.4, 0.8),
         ],
     )
     def test_it_grants_by_what_is_known_of_the_keeper(
-        self, signs: SignOfLife, least: float, most: float
+        self, signs: ProbeOutcome, least: float, most: float
     ) -> None:
         own = own_share(LARGE, BOUNDS)
         assert least * own <= self.granted(self.stand_in(), signs) <= most * own
 
     def test_what_was_known_long_ago_says_nothing(self) -> None:
         keeper = self.stand_in()
-        keeper.note_sign(self.FIRST, SignOfLife.REFUSED, 0.0)
+        keeper.note_probe(self.FIRST, ProbeOutcome.REFUSED, 0.0)
         keeper.grant(self.RILA, 1, 0, 0.0)
         later = SILENCE_S + 0.1
         assert keeper.grant(self.RILA, 100, 0, later + 60.0).tokens <= LEAST_BURST
