--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -16,7 +16,7 @@
     from wharftiller.daemons.sessions.membership.box_server import BoxServer
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.snapshots import Listings
-    from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
+    from wharftiller.daemons.sessions.membership.tombstones import Tombstones
     from wharftiller.daemons.sessions.state import SharedState
 
 RELEASE_RETRY_S = 0.2
@@ -36,7 +36,7 @@
         self,
         state: SharedState,
         directory: BoxDirectory,
-        marks: DeathMarks,
+        marks: Tombstones,
         server: BoxServer,
         store: SharedObjects,
         listings: Listings,
@@ -51,7 +51,7 @@
     async def all_released(self, record: LeadershipRecord, won_at: float) -> list[str]:
         """Return once no box uses an old primary; the groups whose lost one answers again."""
         listed = await self._list_anew()
-        dead = self._marks.surely_dead() if listed else []
+        dead = self._marks.confirmed_dead() if listed else []
         if dead:
             self._state.log.change("dead_boxes_not_waited_for", boxes=dead)
         silent = {n: box for n, box in self._directory.boxes.items() if n not in dead}
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -23,7 +23,7 @@
     from wharftiller.daemons.sessions.forwarding.gateway_client import GatewayClient
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.readers import ReaderDesk
-    from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
+    from wharftiller.daemons.sessions.membership.tombstones import Tombstones
     from wharftiller.daemons.sessions.state import SharedState
 
 QUIET_WAIT_S = 1.0
@@ -63,7 +63,7 @@
         self,
         state: SharedState,
         directory: BoxDirectory,
-        marks: DeathMarks,
+        marks: Tombstones,
         desk: ReaderDesk,
         known: Callable[[Any], dict[str, Any]],
         check: Callable[[list[str]], Awaitable[None]],
--- a/wharftiller/daemons/sessions/membership/snapshots.py
+++ b/wharftiller/daemons/sessions/membership/snapshots.py
@@ -8,7 +8,7 @@
     from wharftiller.daemons.sessions.interfaces import SharedListing
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
+    from wharftiller.daemons.sessions.membership.tombstones import Tombstones
     from wharftiller.daemons.sessions.state import SharedState
 
 
@@ -16,7 +16,7 @@
     """Brings listings into this box's view of the other boxes and of the leases."""
 
     def __init__(
-        self, state: SharedState, directory: BoxDirectory, marks: DeathMarks, box: Box
+        self, state: SharedState, directory: BoxDirectory, marks: Tombstones, box: Box
     ) -> None:
         self._state = state
         self._directory = directory
--- a/wharftiller/daemons/sessions/membership/tombstones.py
+++ b/wharftiller/daemons/sessions/membership/tombstones.py
@@ -30,7 +30,7 @@
     read_at: float
 
 
-class DeathMarks:
+class Tombstones:
     """The marks that this box has read, and when it last answered each box's rounds."""
 
     def __init__(self, directory: BoxDirectory) -> None:
@@ -52,7 +52,7 @@
         """Note that a round of another box is being answered."""
         self._answered_at[box] = trio.current_time()
 
-    def surely_dead(self) -> list[str]:
+    def confirmed_dead(self) -> list[str]:
         """Return the boxes marked as dead that hold no lease any more."""
         now = trio.current_time()
         listed_s = self._directory.listed_s(now)
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -37,7 +37,7 @@
 from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
 from wharftiller.daemons.sessions.membership.shared_reads import SharedReads
 from wharftiller.daemons.sessions.membership.snapshots import Listings
-from wharftiller.daemons.sessions.membership.tombstones import DeathMarks
+from wharftiller.daemons.sessions.membership.tombstones import Tombstones
 from wharftiller.daemons.sessions.serving.callers import SessionServer
 from wharftiller.daemons.sessions.serving.connection_admission import CallerDoor
 from wharftiller.daemons.sessions.serving.drain import LAST_MOMENT_S, Drain
@@ -127,7 +127,7 @@
         )
         self.state = SharedState(identity.name, identity.data_centre, dialer, log, nursery)
         self._directory = BoxDirectory(self.state, transport, self._box)
-        marks = DeathMarks(self._directory)
+        marks = Tombstones(self._directory)
         listings = Listings(self.state, self._directory, marks, self._box)
         self._gateways = Gateways(self.state, self._directory)
         self._links = GatewayClient(self.state, self._gateways, self._directory, transport, nursery)
