--- a/wharftiller/core/sessions/state_versions.py
+++ b/wharftiller/core/sessions/state_versions.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Knowledge:
+class StateVersions:
     """What one box knows.
 
     Attributes
@@ -36,16 +36,16 @@
     endpoints_revision: int = 0
     endpoints_digest: int = 0
 
-    def lacks_configuration(self, other: Knowledge) -> bool:
+    def lacks_configuration(self, other: StateVersions) -> bool:
         """Return whether another box knows a newer configuration."""
         return other.version > self.version
 
-    def lacks_endpoints(self, other: Knowledge) -> bool:
+    def lacks_endpoints(self, other: StateVersions) -> bool:
         """Return whether another box knows another list of endpoints that is newer."""
         newer = other.endpoints_revision > self.endpoints_revision
         return newer and other.endpoints_digest != self.endpoints_digest
 
-    def lacks(self, other: Knowledge) -> bool:
+    def lacks(self, other: StateVersions) -> bool:
         """Return whether something is to be learned from another box."""
         return self.lacks_configuration(other) or self.lacks_endpoints(other)
 
@@ -54,7 +54,7 @@
         return [self.version, self.endpoints_revision, self.endpoints_digest]
 
     @classmethod
-    def from_json(cls, value: list[int]) -> Knowledge:
+    def from_json(cls, value: list[int]) -> StateVersions:
         """Return what another box told.
 
         Raises
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -133,7 +133,7 @@
         The others pass them on, and hear of it from their readers within a second.
         """
         gateways = self._gateways.others_of(groups)
-        await self._directory.tell_record(self._state.leases.record, gateways)
+        await self._directory.send_record(self._state.leases.record, gateways)
 
     async def _lost_that_answer(self, record: LeadershipRecord) -> list[str]:
         """Ask every lost primary once more; return the groups whose answers."""
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -33,7 +33,7 @@
 """Time for a box to start, in seconds: one that stops is passed over for its grace and this."""
 
 
-KNOWN_PATH = "/peer/known"
+STATE_PATH = "/peer/known"
 """Where boxes ask what this one knows; answers may be large and are compressed."""
 
 
@@ -90,7 +90,7 @@
             ("POST", TOKENS_PATH): keeper_desk.handle_token_request,
             ("POST", LOAN_PATH): _at_once(keeper_desk.handle_loan_request),
             ("POST", "/peer/leaving"): self._leaving,
-            ("POST", KNOWN_PATH): _at_once(known),
+            ("POST", STATE_PATH): _at_once(known),
         }
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
@@ -98,7 +98,7 @@
         answer = self._answers.get((request.method, request.path))
         if answer is None:
             raise UnknownPathError(f"no {request.method} {request.path}; boxes ask under /peer/")
-        compressed = request.path == KNOWN_PATH
+        compressed = request.path == STATE_PATH
         return HttpResponse(200, await answer(request.json()), compressed=compressed)
 
     async def _round(self, question: Any) -> dict[str, Any]:
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -18,7 +18,7 @@
 from wharftiller.core.leadership.lease import RenewalReply
 from wharftiller.core.rendezvous import ranked
 from wharftiller.core.sessions.probe_outcomes import ProbeOutcome
-from wharftiller.core.sessions.state_versions import Knowledge
+from wharftiller.core.sessions.state_versions import StateVersions
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.box_list import BoxList
 from wharftiller.edges.http_client import HttpClient, NoAnswerInTimeError
@@ -72,7 +72,7 @@
     answer: RenewalReply
     platform_answers: bool
     incarnation: str
-    knowledge: Knowledge
+    knowledge: StateVersions
     hears: frozenset[str]
 
 
@@ -226,7 +226,7 @@
                 answer,
                 bool(value["platform"]),
                 str(value["incarnation"]),
-                Knowledge.from_json(value["knows"]),
+                StateVersions.from_json(value["knows"]),
                 hears,
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -245,7 +245,7 @@
             return list(self.replies)
         return [name for name, box in self.boxes.items() if not box.retired]
 
-    def told_boxes(self) -> list[dict[str, str]]:
+    def boxes_to_json(self) -> list[dict[str, str]]:
         """Return all boxes known, this one included, as JSON."""
         return [attrs.asdict(box) for box in (self._box, *self.boxes.values())]
 
@@ -337,16 +337,16 @@
             return None
         return float(value.get("listed_ms") or 0) / 1000
 
-    async def tell_record(self, record: LeadershipRecord, boxes: list[Box] | None = None) -> None:
+    async def send_record(self, record: LeadershipRecord, boxes: list[Box] | None = None) -> None:
         """Tell ``boxes``, every other one if None, of a new record."""
         body = {"revision": record.revision, "record": record_to_json(record)}
         await self._tell("/peer/record", body, boxes)
 
-    async def tell_news(self, boxes: list[Box]) -> None:
+    async def notify_change(self, boxes: list[Box]) -> None:
         """Have ``boxes`` look for a newer configuration or list of endpoints."""
         await self._tell("/peer/news", {}, boxes)
 
-    async def tell_leaving(self) -> None:
+    async def send_leaving(self) -> None:
         """Tell the boxes of this data centre that this one is stopping."""
         near = [box for name, box in self.boxes.items() if self._is_near(name)]
         await self._tell("/peer/leaving", {"box": self._state.box}, near)
@@ -362,8 +362,8 @@
             for box in list(self.boxes.values()) if boxes is None else boxes:
                 nursery.start_soon(tell, box)
 
-    async def fetch_known(
-        self, address: str, mine: Knowledge, timeout_s: float
+    async def fetch_state(
+        self, address: str, mine: StateVersions, timeout_s: float
     ) -> dict[str, Any] | None:
         """Return what the box at ``address`` knows beyond ``mine``; None if it does not answer.
 
--- a/wharftiller/daemons/sessions/membership/lease_renewal.py
+++ b/wharftiller/daemons/sessions/membership/lease_renewal.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
+    from wharftiller.daemons.sessions.membership.peer_sync import PeerSync
     from wharftiller.daemons.sessions.membership.readers import ReaderClient
     from wharftiller.daemons.sessions.state import SharedState
 
@@ -46,7 +46,7 @@
         state: SharedState,
         directory: BoxDirectory,
         readers: ReaderClient,
-        neighbours: Neighbours,
+        neighbours: PeerSync,
         may_run: Callable[[], bool],
         nursery: trio.Nursery,
     ) -> None:
@@ -71,7 +71,7 @@
                 self._renewed = await self._renew_by_reader()
             elif self._directory.boxes:
                 self._renewed = await self._directory.round()
-                self._neighbours.learn_newer()
+                self._neighbours.sync_newer()
             with trio.move_on_after(RENEWAL_S):
                 await self._state.check_soon.wait()
 
@@ -79,7 +79,7 @@
         """Renew the leases through a reader; by a round once that has failed for a while."""
         renewed = self._readers.is_reader or await self._readers.ask()
         if self._readers.newer_at is not None:
-            self._nursery.start_soon(self._neighbours.learn_from, self._readers.newer_at)
+            self._nursery.start_soon(self._neighbours.sync_from, self._readers.newer_at)
             self._readers.newer_at = None
         elif renewed:
             self._neighbours.nothing_lacks()
@@ -91,4 +91,4 @@
         """Ask everybody, if this box needs leases; else only those who hear news first."""
         among = None if self._may_run() else self._readers.followers()
         await self._directory.round(no_older_than_s=RENEWALS_APART_S, among=among)
-        self._neighbours.learn_newer()
+        self._neighbours.sync_newer()
--- a/wharftiller/daemons/sessions/membership/peer_sync.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -10,7 +10,7 @@
 
 from wharftiller.core.errors import BadRequestError, ConfigurationError
 from wharftiller.core.sessions.routes import EndpointEntry
-from wharftiller.core.sessions.state_versions import Knowledge
+from wharftiller.core.sessions.state_versions import StateVersions
 from wharftiller.daemons.sessions.membership.box import Box
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
 """
 
 
-class Neighbours:
+class PeerSync:
     """What other boxes know that this one does not.
 
     Parameters
@@ -110,7 +110,7 @@
             If it tells something else.
         """
         try:
-            theirs = Knowledge.from_json(asked["knows"])
+            theirs = StateVersions.from_json(asked["knows"])
         except (KeyError, TypeError, ValueError) as error:
             raise BadRequestError(f"no knowledge was told: {error!r}; run one version") from None
         mine = self._state.knowledge
@@ -125,11 +125,11 @@
                 if theirs.lacks_endpoints(mine)
                 else None
             ),
-            "boxes": self._directory.told_boxes(),
+            "boxes": self._directory.boxes_to_json(),
             "read_age_ms": self._directory.read_age_ms(),
         }
 
-    async def learn_at_start(self) -> None:
+    async def sync_at_start(self) -> None:
         """Ask the seeds at once, and for as long as this box knows no configuration.
 
         Only those that answer at once spare it the platform's lists: of a data centre that
@@ -145,14 +145,14 @@
     async def _learn_from_seeds(self) -> None:
         for address in self._seeds:
             if not self.has_learned:
-                await self.learn_from(address)
+                await self.sync_from(address)
 
-    def learn_newer(self) -> None:
+    def sync_newer(self) -> None:
         """Fetch configuration and endpoints from a box that knows newer ones."""
         for name, reply in self._directory.replies.items():
             box = self._directory.boxes.get(name)
             if box is not None and self._state.knowledge.lacks(reply.knowledge):
-                self._nursery.start_soon(self.learn_from, box.address)
+                self._nursery.start_soon(self.sync_from, box.address)
                 return
         self.nothing_lacks()
 
@@ -160,7 +160,7 @@
         """Note that no other box knows more."""
         self._fetch_failed = False
 
-    async def learn_from(self, address: str) -> None:
+    async def sync_from(self, address: str) -> None:
         """Take in what the box at ``address`` knows and this one does not.
 
         One fetch at a time: a slow one is not made slower by the next.
@@ -170,7 +170,7 @@
         self._fetching = True
         asked_at = trio.current_time()
         try:
-            known = await self._directory.fetch_known(
+            known = await self._directory.fetch_state(
                 address, self._state.knowledge, self._fetch_timeout_s
             )
         finally:
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -16,7 +16,7 @@
 
 from wharftiller.core.errors import BadRequestError, ExchangeError
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.state_versions import Knowledge
+from wharftiller.core.sessions.state_versions import StateVersions
 from wharftiller.daemons.sessions.interfaces import SharedListing
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.boxes import RENEWAL_TIMEOUT_S
@@ -260,7 +260,7 @@
             if not value["read"]:
                 self.is_silent = True
                 return False
-            newer = self._state.knowledge.lacks(Knowledge.from_json(value["knows"]))
+            newer = self._state.knowledge.lacks(StateVersions.from_json(value["knows"]))
             self.newer_at = reader.address if newer else None
             if not value["listed"]:
                 return False
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -14,7 +14,7 @@
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRenewer
-    from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
+    from wharftiller.daemons.sessions.membership.peer_sync import PeerSync
     from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
     from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
     from wharftiller.daemons.sessions.membership.snapshots import Listings
@@ -59,7 +59,7 @@
         desk: ReaderDesk,
         retirement: BoxRetirement,
         rounds: LeaseRenewer,
-        neighbours: Neighbours,
+        neighbours: PeerSync,
         feeds: Feeds,
         pace: ReadIntervals,
         first_start: bool,
--- a/wharftiller/daemons/sessions/primary_positions.py
+++ b/wharftiller/daemons/sessions/primary_positions.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from wharftiller.core.leadership.lease import LeaseTable
 
-ToldPositions = dict[str, tuple[str, int, int, int]]
+PositionsJson = dict[str, tuple[str, int, int, int]]
 """By group: the primary, term and index of its position, and the age of that in milliseconds."""
 
 
@@ -36,7 +36,7 @@
         """Note the primary's position in an answer to what was asked at ``asked_at`` (seconds)."""
         self.of_group(group).add(FreshPoint(asked_at, position))
 
-    def told(self) -> ToldPositions:
+    def told(self) -> PositionsJson:
         """Return each primary's newest known position, with its age, for another box."""
         now = trio.current_time()
         told = {}
@@ -48,7 +48,7 @@
                 told[group] = (state.endpoint, position.term, position.index, age_ms)
         return told
 
-    def take(self, told: ToldPositions, asked_at: float) -> None:
+    def take(self, told: PositionsJson, asked_at: float) -> None:
         """Take in the positions that another box told when asked at ``asked_at`` (seconds)."""
         for group, (lead, term, index, age_ms) in told.items():
             if lead == self._leases.record.lead(group):
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -32,7 +32,7 @@
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.daemons.sessions.membership.isolation import IsolationWatch
 from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRenewer
-from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
+from wharftiller.daemons.sessions.membership.peer_sync import PeerSync
 from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
 from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
 from wharftiller.daemons.sessions.membership.shared_reads import SharedReads
@@ -147,7 +147,7 @@
             self.state, self._directory, self._box, listings.take
         )
         self._prober = Prober(self.state, self._directory, dialer, nursery)
-        self._neighbours = Neighbours(
+        self._neighbours = PeerSync(
             self.state,
             self._directory,
             [seed for seed in identity.seeds if seed != identity.address],
@@ -234,7 +234,7 @@
             self._rounds.run,
             self._reads.run,
             self._reads.choose_feeds,
-            self._neighbours.learn_at_start,
+            self._neighbours.sync_at_start,
             self._maintain_for_ever,
             self._prober.run,
             self._mover.run,
@@ -260,7 +260,7 @@
 
     def _missed_change_found(self) -> None:
         """Tell those who follow the platform of a change that its watches did not tell."""
-        self._nursery.start_soon(self._directory.tell_news, self._readers.followers())
+        self._nursery.start_soon(self._directory.notify_change, self._readers.followers())
 
     # Maintenance and stopping -------------------------------------------
 
@@ -279,7 +279,7 @@
         started = trio.current_time()
         self._unready = True
         self._log.change("stopping", sessions=self.sessions.count)
-        self._nursery.start_soon(self._directory.tell_leaving)
+        self._nursery.start_soon(self._directory.send_leaving)
         await self._drain.run(started, self._identity.bounds.grace_s)
         self._log.change("stopped", sessions=self.sessions.count)
         with trio.move_on_after(LAST_MOMENT_S / 2):
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -12,7 +12,7 @@
 from wharftiller.core.sessions.metrics import Figures
 from wharftiller.core.sessions.retry_after import PrimaryOutlook
 from wharftiller.core.sessions.routes import SessionConfiguration
-from wharftiller.core.sessions.state_versions import Knowledge
+from wharftiller.core.sessions.state_versions import StateVersions
 from wharftiller.core.sessions.statements import EndpointQuery, RefusalKind, Rollback
 from wharftiller.daemons.sessions.endpoint_table import EndpointTable
 from wharftiller.daemons.sessions.in_flight import InFlightWork
@@ -112,9 +112,9 @@
         return self.configuration.version
 
     @property
-    def knowledge(self) -> Knowledge:
+    def knowledge(self) -> StateVersions:
         """What this box knows of configuration and endpoints."""
-        return Knowledge(self.version, self.endpoints.revision, self.endpoints.digest)
+        return StateVersions(self.version, self.endpoints.revision, self.endpoints.digest)
 
     def take_configuration(self, configuration: SessionConfiguration, source: str) -> bool:
         """Put a newer configuration in force; an older one is passed over."""
--- a/wharftiller/tests/core/sessions/test_state_versions.py
+++ b/wharftiller/tests/core/sessions/test_state_versions.py
@@ -6,9 +6,9 @@
 import pytest
 
 from wharftiller.core.sessions.routes import EndpointEntry
-from wharftiller.core.sessions.state_versions import Knowledge, digest_of
+from wharftiller.core.sessions.state_versions import StateVersions, digest_of
 
-MINE = Knowledge(version=3, endpoints_revision=10, endpoints_digest=7)
+MINE = StateVersions(version=3, endpoints_revision=10, endpoints_digest=7)
 ENTRIES = [
     EndpointEntry(name, "seats", "10.2.0.1:5", "a", leads=False, leaving=False) for name in "abc"
 ]
@@ -35,12 +35,12 @@
         assert MINE.lacks(theirs) is (configuration or endpoints)
 
     def test_it_passes_between_boxes(self) -> None:
-        assert Knowledge.from_json(MINE.to_json()) == MINE
+        assert StateVersions.from_json(MINE.to_json()) == MINE
 
     @pytest.mark.parametrize("value", [None, [], [1, 2], [1, 2, "x"], "123456", {"version": 1}])
     def test_anything_else_is_refused(self, value: object) -> None:
         with pytest.raises((TypeError, ValueError)):
-            Knowledge.from_json(value)  # type: ignore[arg-type]
+            StateVersions.from_json(value)  # type: ignore[arg-type]
 
 
 class TestDigest:
--- a/wharftiller/tests/platform/test_readers.py
+++ b/wharftiller/tests/platform/test_readers.py
@@ -11,7 +11,7 @@
 from wharftiller.core.sessions.bounds import PlatformBounds
 from wharftiller.daemons.sessions.membership import readers
 from wharftiller.daemons.sessions.membership.box_server import BoxServer
-from wharftiller.daemons.sessions.membership.peer_sync import Neighbours
+from wharftiller.daemons.sessions.membership.peer_sync import PeerSync
 from wharftiller.edges.http_server import HttpRequest, HttpResponse
 from wharftiller.platform.objects import CONFIGURATION_KIND, ENDPOINT_KIND
 from wharftiller.platform.store import ObjectStore
@@ -136,9 +136,9 @@
     ) -> None:
         """A change of endpoints does not carry the configuration, however large, to each box."""
         told: list[dict[str, Any]] = []
-        known = Neighbours.known
+        known = PeerSync.known
 
-        def noted(neighbours: Neighbours, asked: Any) -> dict[str, Any]:
+        def noted(neighbours: PeerSync, asked: Any) -> dict[str, Any]:
             told.append(known(neighbours, asked))
             return told[-1]
 
@@ -157,7 +157,7 @@
                 row = box.process.proxy.state.endpoints.rows[leaving.name]
                 assert row.leaving_since is not None
 
-        monkeypatch.setattr(Neighbours, "known", noted)
+        monkeypatch.setattr(PeerSync, "known", noted)
         run_in_world(story, boxes=BOXES)
 
     def test_changes_that_watches_tell_make_nobody_list_anew(
--- a/wharftiller/tests/platform/test_whole_path.py
+++ b/wharftiller/tests/platform/test_whole_path.py
@@ -8,7 +8,7 @@
 import trio
 
 from standins.line_endpoints import proof
-from wharftiller.core.sessions.state_versions import Knowledge
+from wharftiller.core.sessions.state_versions import StateVersions
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.tests.platform.world import Caller, World, make_group, run_in_world
 
@@ -198,15 +198,15 @@
     ) -> None:
         """They read the platform at different times, so they know it as of other revisions."""
         fetched: list[str] = []
-        fetch = BoxDirectory.fetch_known
+        fetch = BoxDirectory.fetch_state
 
         async def counted(
-            directory: BoxDirectory, address: str, mine: Knowledge, timeout_s: float
+            directory: BoxDirectory, address: str, mine: StateVersions, timeout_s: float
         ) -> dict[str, Any] | None:
             fetched.append(address)
             return await fetch(directory, address, mine, timeout_s)
 
-        monkeypatch.setattr(BoxDirectory, "fetch_known", counted)
+        monkeypatch.setattr(BoxDirectory, "fetch_state", counted)
 
         async def story(world: World) -> None:
             before = len(fetched)
