--- a/wharftiller/core/sessions/revisions.py
+++ b/wharftiller/core/sessions/revisions.py
@@ -11,7 +11,7 @@
 """Revisions gone through one by one; more of them at once count as missed."""
 
 
-class RevisionAccount:
+class RevisionTracker:
     """What is known of each revision of the platform since the last one settled.
 
     The platform raises one revision for every change of anything. Boxes that start and
--- a/wharftiller/daemons/sessions/interfaces.py
+++ b/wharftiller/daemons/sessions/interfaces.py
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen
-class SharedListing:
+class PlatformSnapshot:
     """What boxes share through the platform, read at once.
 
     Attributes
@@ -103,7 +103,7 @@
         """Follow them from now on, or not: another box then tells of them."""
         ...
 
-    def noticed(self, listing: SharedListing) -> None:
+    def noticed(self, listing: PlatformSnapshot) -> None:
         """Read anew what was not heard of up to the platform's revision of ``listing``.
 
         Watches of the platform may miss changes for a while.
@@ -118,7 +118,7 @@
     may still take effect then.
     """
 
-    async def read(self) -> SharedListing:
+    async def read(self) -> PlatformSnapshot:
         """Read everything as it stands now."""
         ...
 
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -15,7 +15,7 @@
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.box_server import BoxServer
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.snapshots import Listings
+    from wharftiller.daemons.sessions.membership.snapshots import SnapshotApplier
     from wharftiller.daemons.sessions.membership.tombstones import Tombstones
     from wharftiller.daemons.sessions.state import SharedState
 
@@ -39,7 +39,7 @@
         marks: Tombstones,
         server: BoxServer,
         store: SharedObjects,
-        listings: Listings,
+        listings: SnapshotApplier,
     ) -> None:
         self._state = state
         self._directory = directory
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -22,7 +22,7 @@
     from wharftiller.daemons.sessions.forwarding.executor import ForwardedExecutor
     from wharftiller.daemons.sessions.forwarding.gateway_client import GatewayClient
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.readers import ReaderDesk
+    from wharftiller.daemons.sessions.membership.readers import SnapshotServer
     from wharftiller.daemons.sessions.membership.tombstones import Tombstones
     from wharftiller.daemons.sessions.state import SharedState
 
@@ -64,7 +64,7 @@
         state: SharedState,
         directory: BoxDirectory,
         marks: Tombstones,
-        desk: ReaderDesk,
+        desk: SnapshotServer,
         known: Callable[[Any], dict[str, Any]],
         check: Callable[[list[str]], Awaitable[None]],
         desk_for_others: ForwardedExecutor,
--- a/wharftiller/daemons/sessions/membership/lease_renewal.py
+++ b/wharftiller/daemons/sessions/membership/lease_renewal.py
@@ -13,7 +13,7 @@
 
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.peer_sync import PeerSync
-    from wharftiller.daemons.sessions.membership.readers import ReaderClient
+    from wharftiller.daemons.sessions.membership.readers import SnapshotClient
     from wharftiller.daemons.sessions.state import SharedState
 
 RENEWALS_AFTER_S = 2.5
@@ -45,7 +45,7 @@
         self,
         state: SharedState,
         directory: BoxDirectory,
-        readers: ReaderClient,
+        readers: SnapshotClient,
         neighbours: PeerSync,
         may_run: Callable[[], bool],
         nursery: trio.Nursery,
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -17,7 +17,7 @@
 from wharftiller.core.errors import BadRequestError, ExchangeError
 from wharftiller.core.rendezvous import ranked
 from wharftiller.core.sessions.state_versions import StateVersions
-from wharftiller.daemons.sessions.interfaces import SharedListing
+from wharftiller.daemons.sessions.interfaces import PlatformSnapshot
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.boxes import RENEWAL_TIMEOUT_S
 from wharftiller.edges.leadership_json import record_from_json, record_to_json
@@ -58,7 +58,7 @@
 class LastRead:
     """The newest read of the platform that this box made itself."""
 
-    listing: SharedListing | None = None
+    listing: PlatformSnapshot | None = None
     asked_at: float = 0.0
     list_revision: int = 0
 
@@ -85,7 +85,7 @@
         return cls(changed, sorted(old.keys() - new.keys()))
 
 
-class ReaderDesk:
+class SnapshotServer:
     """Answers boxes that ask this one for its reads."""
 
     def __init__(self, state: SharedState, incarnation: str) -> None:
@@ -96,7 +96,7 @@
         self._changes: dict[int, ListChange] = {}
         self.asked_at: dict[str, float] = {}
 
-    def note(self, listing: SharedListing, asked_at: float) -> None:
+    def note(self, listing: PlatformSnapshot, asked_at: float) -> None:
         """Keep a read that this box made."""
         known = self._last.listing
         if known is None or known.boxes != listing.boxes:
@@ -163,7 +163,7 @@
         return change
 
 
-class ReaderClient:
+class SnapshotClient:
     """Asks readers for what they read.
 
     Attributes
@@ -184,7 +184,7 @@
         state: SharedState,
         directory: BoxDirectory,
         box: Box,
-        take: Callable[[SharedListing, float], bool],
+        take: Callable[[PlatformSnapshot, float], bool],
     ) -> None:
         self._state = state
         self._directory = directory
@@ -290,7 +290,7 @@
                 f"{reader.name} told nonsense: {error!r}; run one version"
             ) from None
         self._directory.platform_read_at = max(self._directory.platform_read_at, read_at)
-        listing = SharedListing(record, dict(self._boxes))
+        listing = PlatformSnapshot(record, dict(self._boxes))
         if value["revision"] == record.revision and not self._take(listing, read_at):
             return False
         is_fresh = trio.current_time() - read_at < READ_FRESH_S
--- a/wharftiller/daemons/sessions/membership/retirement.py
+++ b/wharftiller/daemons/sessions/membership/retirement.py
@@ -21,7 +21,7 @@
     from wharftiller.daemons.sessions.interfaces import SharedObjects
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
+    from wharftiller.daemons.sessions.membership.readers import SnapshotClient, SnapshotServer
     from wharftiller.daemons.sessions.state import SharedState
 
 SILENT_S = 5.0
@@ -42,8 +42,8 @@
         state: SharedState,
         directory: BoxDirectory,
         shared: SharedObjects,
-        desk: ReaderDesk,
-        readers: ReaderClient,
+        desk: SnapshotServer,
+        readers: SnapshotClient,
         nursery: trio.Nursery,
     ) -> None:
         self._state = state
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -10,14 +10,14 @@
 from wharftiller.core.leadership.read_schedule import ReadIntervals, ReadScheduleInputs, read_is_due
 
 if TYPE_CHECKING:
-    from wharftiller.daemons.sessions.interfaces import Feeds, SharedListing, SharedObjects
+    from wharftiller.daemons.sessions.interfaces import Feeds, PlatformSnapshot, SharedObjects
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRenewer
     from wharftiller.daemons.sessions.membership.peer_sync import PeerSync
-    from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
+    from wharftiller.daemons.sessions.membership.readers import SnapshotClient, SnapshotServer
     from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
-    from wharftiller.daemons.sessions.membership.snapshots import Listings
+    from wharftiller.daemons.sessions.membership.snapshots import SnapshotApplier
     from wharftiller.daemons.sessions.state import SharedState
 
 REGISTERED_S = 0.6
@@ -54,9 +54,9 @@
         directory: BoxDirectory,
         box: Box,
         shared: SharedObjects,
-        listings: Listings,
-        readers: ReaderClient,
-        desk: ReaderDesk,
+        listings: SnapshotApplier,
+        readers: SnapshotClient,
+        desk: SnapshotServer,
         retirement: BoxRetirement,
         rounds: LeaseRenewer,
         neighbours: PeerSync,
@@ -160,7 +160,7 @@
             self._feeds.noticed(listing)
         self._directory.platform_read_at = max(self._directory.platform_read_at, asked_at)
 
-    async def _read_registered(self) -> tuple[SharedListing, float]:
+    async def _read_registered(self) -> tuple[PlatformSnapshot, float]:
         """Return a listing that holds this box, and when it was asked for."""
         if self._has_registered:
             asked_at = trio.current_time()
--- a/wharftiller/daemons/sessions/membership/snapshots.py
+++ b/wharftiller/daemons/sessions/membership/snapshots.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from wharftiller.daemons.sessions.interfaces import SharedListing
+    from wharftiller.daemons.sessions.interfaces import PlatformSnapshot
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.tombstones import Tombstones
     from wharftiller.daemons.sessions.state import SharedState
 
 
-class Listings:
+class SnapshotApplier:
     """Brings listings into this box's view of the other boxes and of the leases."""
 
     def __init__(
@@ -23,15 +23,15 @@
         self._marks = marks
         self._box = box
 
-    def others(self, listing: SharedListing) -> dict[str, Box]:
+    def others(self, listing: PlatformSnapshot) -> dict[str, Box]:
         """Return the other boxes of ``listing``."""
         return {name: box for name, box in listing.boxes.items() if name != self._box.name}
 
-    def holds_this_process(self, listing: SharedListing) -> bool:
+    def holds_this_process(self, listing: PlatformSnapshot) -> bool:
         """Return whether this very process stands in ``listing``, and not marked as dead."""
         return listing.boxes.get(self._box.name) == self._box
 
-    def take(self, listing: SharedListing, asked_at: float) -> bool:
+    def take(self, listing: PlatformSnapshot, asked_at: float) -> bool:
         """Take in what was read from the platform, asked for at ``asked_at`` (seconds).
 
         Returns
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -33,10 +33,10 @@
 from wharftiller.daemons.sessions.membership.isolation import IsolationWatch
 from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRenewer
 from wharftiller.daemons.sessions.membership.peer_sync import PeerSync
-from wharftiller.daemons.sessions.membership.readers import ReaderClient, ReaderDesk
+from wharftiller.daemons.sessions.membership.readers import SnapshotClient, SnapshotServer
 from wharftiller.daemons.sessions.membership.retirement import BoxRetirement
 from wharftiller.daemons.sessions.membership.shared_reads import SharedReads
-from wharftiller.daemons.sessions.membership.snapshots import Listings
+from wharftiller.daemons.sessions.membership.snapshots import SnapshotApplier
 from wharftiller.daemons.sessions.membership.tombstones import Tombstones
 from wharftiller.daemons.sessions.serving.callers import SessionServer
 from wharftiller.daemons.sessions.serving.connection_admission import CallerDoor
@@ -128,7 +128,7 @@
         self.state = SharedState(identity.name, identity.data_centre, dialer, log, nursery)
         self._directory = BoxDirectory(self.state, transport, self._box)
         marks = Tombstones(self._directory)
-        listings = Listings(self.state, self._directory, marks, self._box)
+        listings = SnapshotApplier(self.state, self._directory, marks, self._box)
         self._gateways = Gateways(self.state, self._directory)
         self._links = GatewayClient(self.state, self._gateways, self._directory, transport, nursery)
         forwarder = Forwarder(self.state, self._gateways, self._directory, self._links, nursery)
@@ -142,8 +142,8 @@
         self.sessions = SessionServer(self.state, self._runner, self.door)
         self._for_others = ForwardedExecutor(self.state, gate)
         self._drain = Drain(self.sessions, self._for_others)
-        desk = ReaderDesk(self.state, incarnation)
-        readers = self._readers = ReaderClient(
+        desk = SnapshotServer(self.state, incarnation)
+        readers = self._readers = SnapshotClient(
             self.state, self._directory, self._box, listings.take
         )
         self._prober = Prober(self.state, self._directory, dialer, nursery)
--- a/wharftiller/platform/objects.py
+++ b/wharftiller/platform/objects.py
@@ -29,7 +29,7 @@
     WorkspaceDirectory,
     digest_of_key,
 )
-from wharftiller.daemons.sessions.interfaces import SharedListing
+from wharftiller.daemons.sessions.interfaces import PlatformSnapshot
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.edges.leadership_json import record_from_json, record_to_json
 from wharftiller.edges.transport import split_address
@@ -276,10 +276,10 @@
     def __init__(self, store: ObjectStore, log: DecisionLog) -> None:
         self._store = store
         self._log = log
-        self._last: SharedListing | None = None
+        self._last: PlatformSnapshot | None = None
         self._is_calm = False
 
-    async def read(self) -> SharedListing:
+    async def read(self) -> PlatformSnapshot:
         """Read everything as it stands now.
 
         While nothing changes only the record is listed, whose answer tells the platform's
@@ -296,7 +296,7 @@
         self._last = listing
         return listing
 
-    async def _read_all(self) -> SharedListing:
+    async def _read_all(self) -> PlatformSnapshot:
         objects, revision = await self._store.list_all(OWN_KIND)
         boxes: dict[str, Box] = {}
         marks: dict[str, int] = {}
@@ -311,7 +311,7 @@
                     if box.retired:
                         marks[box.name] = stored.revision
         revisions = {name: stored.revision for name, stored in objects.items()}
-        return SharedListing(record, boxes, revision, marks, revisions)
+        return PlatformSnapshot(record, boxes, revision, marks, revisions)
 
     def _decode_box(self, stored: StoredObject) -> Box | None:
         try:
--- a/wharftiller/platform/watches.py
+++ b/wharftiller/platform/watches.py
@@ -7,7 +7,7 @@
 import trio
 
 from wharftiller.core.errors import ConfigurationError, PlatformUnavailableError
-from wharftiller.core.sessions.revisions import RevisionAccount
+from wharftiller.core.sessions.revisions import RevisionTracker
 from wharftiller.platform.objects import (
     CONFIGURATION_KIND,
     CONFIGURATION_NAME,
@@ -20,7 +20,7 @@
 
     from wharftiller.core.sessions.bounds import PlatformBounds
     from wharftiller.core.sessions.routes import SessionConfiguration
-    from wharftiller.daemons.sessions.interfaces import SharedListing
+    from wharftiller.daemons.sessions.interfaces import PlatformSnapshot
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.decisions import DecisionLog
     from wharftiller.edges.http_client import HttpClient
@@ -57,7 +57,7 @@
         anything changed.
     missed : callable
         Called when a change was found that the watch did not tell.
-    account : RevisionAccount
+    account : RevisionTracker
         Where every change read or told is noted.
     list_timeout_s : float
         Time for a list, in seconds: a large one takes long on a slow link.
@@ -69,7 +69,7 @@
         kind: str,
         take: Callable[[Objects, int], bool],
         missed: Callable[[], None],
-        account: RevisionAccount,
+        account: RevisionTracker,
         list_timeout_s: float,
         log: DecisionLog,
     ) -> None:
@@ -186,7 +186,7 @@
         self._state = state
         self._log = log
         self._nursery: trio.Nursery | None = None
-        self._account = RevisionAccount()
+        self._account = RevisionTracker()
         list_s = LIST_PART * bounds.configuration_in_force_s
         kinds = [
             (CONFIGURATION_KIND, self._take_configuration),
@@ -209,7 +209,7 @@
             if follower.wanted != wanted:
                 follower.follow(wanted)
 
-    def noticed(self, listing: SharedListing) -> None:
+    def noticed(self, listing: PlatformSnapshot) -> None:
         """Read anew what was not heard of up to the platform's revision of ``listing``."""
         assert self._nursery is not None
         self._account.listed(listing.revisions, listing.revision)
--- a/wharftiller/tests/core/sessions/test_revisions.py
+++ b/wharftiller/tests/core/sessions/test_revisions.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from wharftiller.core.sessions.revisions import MOST_COUNTED, RevisionAccount
+from wharftiller.core.sessions.revisions import MOST_COUNTED, RevisionTracker
 
 
-def settled_at(revision: int, **entries: int) -> RevisionAccount:
-    account = RevisionAccount()
+def settled_at(revision: int, **entries: int) -> RevisionTracker:
+    account = RevisionTracker()
     account.listed(entries, revision)
     account.settle(revision)
     return account
@@ -14,7 +14,7 @@
 
 class TestRevisionAccount:
     def test_a_first_look_misses_everything(self) -> None:
-        assert RevisionAccount().misses(7)
+        assert RevisionTracker().misses(7)
 
     def test_boxes_that_start_are_accounted_for(self) -> None:
         account = settled_at(7, box1=6)
