--- a/wharftiller/daemons/sessions/interfaces.py
+++ b/wharftiller/daemons/sessions/interfaces.py
@@ -92,7 +92,7 @@
     revisions: dict[str, int] = attrs.field(factory=dict)
 
 
-class Feeds(Protocol):
+class Watches(Protocol):
     """Brings the configuration and the endpoints from the platform."""
 
     def start(self, nursery: trio.Nursery) -> None:
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -10,7 +10,7 @@
 from wharftiller.core.leadership.read_schedule import ReadIntervals, ReadScheduleInputs, read_is_due
 
 if TYPE_CHECKING:
-    from wharftiller.daemons.sessions.interfaces import Feeds, PlatformSnapshot, SharedObjects
+    from wharftiller.daemons.sessions.interfaces import PlatformSnapshot, SharedObjects, Watches
     from wharftiller.daemons.sessions.membership.box import Box
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.membership.lease_renewal import LeaseRenewer
@@ -60,7 +60,7 @@
         retirement: BoxRetirement,
         rounds: LeaseRenewer,
         neighbours: PeerSync,
-        feeds: Feeds,
+        feeds: Watches,
         pace: ReadIntervals,
         first_start: bool,
     ) -> None:
@@ -109,7 +109,7 @@
             is_asked=self._readers.is_asked,
         )
 
-    async def choose_feeds(self) -> None:
+    async def choose_watches(self) -> None:
         """Follow configuration and endpoints where no reader tells of them, or not in time."""
         await self._neighbours.asked_at_start.wait()
         while True:
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -54,9 +54,9 @@
     from wharftiller.core.sessions.routes import SessionConfiguration
     from wharftiller.daemons.sessions.interfaces import (
         EndpointDialer,
-        Feeds,
         Promotions,
         SharedObjects,
+        Watches,
     )
     from wharftiller.decisions import DecisionLog
     from wharftiller.edges.http_server import HttpRequest
@@ -109,7 +109,7 @@
         transport: Transport,
         dialer: EndpointDialer,
         shared: SharedObjects,
-        feeds: Callable[[SharedState, Callable[[], None]], Feeds],
+        feeds: Callable[[SharedState, Callable[[], None]], Watches],
         promotions: Promotions,
         log: DecisionLog,
         decode_configuration: Callable[[Any], SessionConfiguration],
@@ -233,7 +233,7 @@
         for task in (
             self._rounds.run,
             self._reads.run,
-            self._reads.choose_feeds,
+            self._reads.choose_watches,
             self._neighbours.sync_at_start,
             self._maintain_for_ever,
             self._prober.run,
--- a/wharftiller/platform/__main__.py
+++ b/wharftiller/platform/__main__.py
@@ -21,7 +21,7 @@
 from wharftiller.platform.promotions import PlatformPromotions
 from wharftiller.platform.settings import ProcessSettings, load_settings
 from wharftiller.platform.store import ObjectStore
-from wharftiller.platform.watches import PlatformFeeds
+from wharftiller.platform.watches import PlatformWatches
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
@@ -90,8 +90,8 @@
         store = ObjectStore(self._transport, settings.store, self._log)
         decode = partial(decode_configuration, needs_workspaces=settings.needs_workspaces)
 
-        def feeds(state: SharedState, missed: Callable[[], None]) -> PlatformFeeds:
-            return PlatformFeeds(store, settings.bounds, decode, state, missed, self._log)
+        def feeds(state: SharedState, missed: Callable[[], None]) -> PlatformWatches:
+            return PlatformWatches(store, settings.bounds, decode, state, missed, self._log)
 
         return SessionProxy(
             BoxIdentity(
--- a/wharftiller/platform/watches.py
+++ b/wharftiller/platform/watches.py
@@ -47,7 +47,7 @@
 Objects = dict[str, "StoredObject"]
 
 
-class KindFollower:
+class KindWatcher:
     """Follows the objects of one kind by list and watch.
 
     Parameters
@@ -163,7 +163,7 @@
             self._watching.cancel()
 
 
-class PlatformFeeds:
+class PlatformWatches:
     """Brings configuration and endpoints into a session proxy's state.
 
     Parameters
@@ -193,7 +193,7 @@
             (ENDPOINT_KIND, self._take_endpoints),
         ]
         self._followers = [
-            KindFollower(store, kind, take, missed, self._account, list_s, log)
+            KindWatcher(store, kind, take, missed, self._account, list_s, log)
             for kind, take in kinds
         ]
 
