--- a/wharftiller/core/sessions/isolation.py
+++ b/wharftiller/core/sessions/isolation.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class IsolationView:
+class IsolationInputs:
     """What a box knows when it decides.
 
     Attributes
@@ -85,7 +85,7 @@
 
 
 @attrs.frozen
-class SendAway:
+class ShedSessions:
     """Close the sessions of ``groups`` that rest now.
 
     Once only: long sessions stay where they open again, and the boxes that then hold most of
@@ -96,7 +96,7 @@
     groups: frozenset[str]
 
 
-Step = Unchanged | Begin | End | SendAway
+Step = Unchanged | Begin | End | ShedSessions
 
 
 @attrs.define
@@ -120,19 +120,19 @@
     given_up: bool = False
     sent_away: bool = False
 
-    def centres_to_ask(self, view: IsolationView) -> frozenset[str]:
+    def centres_to_ask(self, view: IsolationInputs) -> frozenset[str]:
         """Return the data centres whose silence decides."""
         if self.since is not None:
             return view.elsewhere
         return frozenset(view.away.values()) if view.are_most(view.away) else frozenset()
 
-    def decide(self, view: IsolationView) -> Step:
+    def decide(self, view: IsolationInputs) -> Step:
         """Return what to do, and take it as done."""
         if self.since is None:
             return self._decide_to_begin(view)
         return self._decide_to_end(view, self.since)
 
-    def _decide_to_begin(self, view: IsolationView) -> Step:
+    def _decide_to_begin(self, view: IsolationInputs) -> Step:
         if not view.are_most(view.away) or not view.silent:
             self.given_up = False
         beyond_cut = [group for group, centre in view.away.items() if centre in view.silent]
@@ -143,7 +143,7 @@
         self.sent_away = False
         return Begin(view.silent)
 
-    def _decide_to_end(self, view: IsolationView, since: float) -> Step:
+    def _decide_to_end(self, view: IsolationInputs, since: float) -> Step:
         still = self.silent <= view.silent
         hears_others = bool(view.elsewhere - view.silent)
         time_out = view.now - since > ISOLATED_MOST_S
@@ -154,4 +154,4 @@
         if self.sent_away or view.now - since < BALANCER_SEES_S:
             return Unchanged()
         self.sent_away = True
-        return SendAway(view.unusable)
+        return ShedSessions(view.unusable)
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.isolation import Begin, End, Isolation, IsolationView, SendAway
+from wharftiller.core.sessions.isolation import Begin, End, Isolation, IsolationInputs, ShedSessions
 
 if TYPE_CHECKING:
     from wharftiller.daemons.sessions.membership.box import Box
@@ -60,13 +60,13 @@
                 self._state.log.change("isolated", silent=sorted(silent), **told)
             case End():
                 self._state.log.change("isolation_ended", silent=sorted(silent), **told)
-            case SendAway(groups):
+            case ShedSessions(groups):
                 sent = self._sessions.send_away(groups)
                 self._state.log.change("sessions_sent_away", sessions=sent, **told)
 
-    def _view(self) -> IsolationView:
+    def _view(self) -> IsolationInputs:
         unusable = self._unusable()
-        return IsolationView(
+        return IsolationInputs(
             now=trio.current_time(),
             groups=len(self._state.leases.record.groups),
             unusable=unusable,
--- a/wharftiller/tests/core/sessions/test_isolation.py
+++ b/wharftiller/tests/core/sessions/test_isolation.py
@@ -11,12 +11,12 @@
     Begin,
     End,
     Isolation,
-    IsolationView,
-    SendAway,
+    IsolationInputs,
+    ShedSessions,
     Unchanged,
 )
 
-CUT_OFF = IsolationView(
+CUT_OFF = IsolationInputs(
     now=10.0,
     groups=3,
     unusable=frozenset({"one", "two"}),
@@ -33,7 +33,7 @@
     return isolation
 
 
-def later(by_s: float, **changes: object) -> IsolationView:
+def later(by_s: float, **changes: object) -> IsolationInputs:
     return attrs.evolve(CUT_OFF, now=CUT_OFF.now + by_s, **changes)  # type: ignore[arg-type]
 
 
@@ -48,7 +48,7 @@
         ],
         ids=["half", "some-answer", "all-answer", "one-stands-here"],
     )
-    def test_only_most_primaries_beyond_a_silence_count(self, view: IsolationView) -> None:
+    def test_only_most_primaries_beyond_a_silence_count(self, view: IsolationInputs) -> None:
         assert Isolation().decide(view) == Unchanged()
 
     def test_nobody_is_asked_while_most_can_be_used(self) -> None:
@@ -64,7 +64,7 @@
 
     def test_where_all_are_silent_it_lasts(self) -> None:
         isolation = isolated()
-        assert isinstance(isolation.decide(later(ISOLATED_MOST_S + 1)), SendAway)
+        assert isinstance(isolation.decide(later(ISOLATED_MOST_S + 1)), ShedSessions)
         assert isolation.decide(later(ISOLATED_MOST_S + 9)) == Unchanged()
 
     def test_who_hears_a_further_data_centre_waits_only_a_while(self) -> None:
@@ -78,5 +78,5 @@
     def test_they_are_sent_away_once_when_the_balancer_knows(self) -> None:
         isolation = isolated()
         assert isolation.decide(later(BALANCER_SEES_S - 0.1)) == Unchanged()
-        assert isolation.decide(later(BALANCER_SEES_S + 0.1)) == SendAway(CUT_OFF.unusable)
+        assert isolation.decide(later(BALANCER_SEES_S + 0.1)) == ShedSessions(CUT_OFF.unusable)
         assert isolation.decide(later(BALANCER_SEES_S + 1.0)) == Unchanged()
