--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -352,7 +352,7 @@
                 self._idle.remove(connection)
                 connection.close()
 
-    def change_way(self, via: str | None) -> None:
+    def set_relay(self, via: str | None) -> None:
         """Open connections through another box from here on, or directly."""
         self.via = via
         self.drop_idle()
--- a/wharftiller/daemons/sessions/connections/probes.py
+++ b/wharftiller/daemons/sessions/connections/probes.py
@@ -69,7 +69,7 @@
                 if row.is_suspect(now) or quiet_lead:
                     self._probing.add(row.name)
                     self._nursery.start_soon(self._probe, row, row.name in leads)
-                elif self._state.endpoints.way_to(row) is not None:
+                elif self._state.endpoints.relay_for(row) is not None:
                     self._probing.add(row.name)
                     self._nursery.start_soon(self._try_direct, row)
 
@@ -125,7 +125,7 @@
         pool = self._state.endpoints.pool(row)
         way = None if pool.via is not None else self._directory.relay_to(row.name)
         if way != pool.via:
-            pool.change_way(way)
+            pool.set_relay(way)
             self._state.log.change("way_changed", endpoint=row.name, via=way)
             self._state.wake()
 
@@ -135,7 +135,7 @@
             with trio.move_on_after(STATUS_TIMEOUT_S):
                 link = await self._dialer.open(row.entry)
                 link.close()
-                self._state.endpoints.pool(row).change_way(None)
+                self._state.endpoints.pool(row).set_relay(None)
                 self._state.log.change("way_changed", endpoint=row.name, via=None)
         except (ExchangeError, EndpointRefusedError) as error:
             self._state.log.event("direct_way_fails", endpoint=row.name, why=str(error))
--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -146,10 +146,10 @@
             return {row.name for row in rows}
         return {row.name for row in rows if self.pools[row.name].has_idle_for(workspace)}
 
-    def way_to(self, row: EndpointRow) -> str | None:
+    def relay_for(self, row: EndpointRow) -> str | None:
         """Return the address of a box through which ``row`` is reached, if one is known."""
         return self.pools[row.name].via
 
     def is_usable(self, row: EndpointRow) -> bool:
         """Return whether a statement sent to ``row`` now is likely to be answered."""
-        return not row.is_suspect(trio.current_time()) or self.way_to(row) is not None
+        return not row.is_suspect(trio.current_time()) or self.relay_for(row) is not None
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -147,7 +147,7 @@
             for row in rows
             if row.unreachable_since is None
             and now - row.last_contact_at < CONTACT_RECENT_S
-            and self._state.endpoints.way_to(row) is None
+            and self._state.endpoints.relay_for(row) is None
         ]
 
     def _adopt(self, value: Any) -> dict[str, Any]:
