--- a/wharftiller/core/sessions/connection_limits.py
+++ b/wharftiller/core/sessions/connection_limits.py
@@ -41,11 +41,11 @@
 """Part of the room below which a box is ready again: lower, so that it does not change each
 second."""
 
-GREETING_LEAST_S = 1.0
+MIN_HANDSHAKE_S = 1.0
 """Time that a full box leaves a caller to name its database, in seconds: two round trips of the
 farthest caller and one lost packet."""
 
-REST_LEAST_S = 2.0
+MIN_IDLE_S = 2.0
 """Time that a session has rested before a full box closes it, in seconds: longer than the pause
 between two operations of a busy caller."""
 
@@ -111,10 +111,10 @@
     return max(CALLERS_FLOOR, min(by_descriptors, by_memory))
 
 
-Guest = TypeVar("Guest")
+CallerConnection = TypeVar("CallerConnection")
 
 
-class Door(Generic[Guest]):
+class ConnectionLimiter(Generic[CallerConnection]):
     """The callers' connections of one box: who may come in, and who leaves for whom.
 
     Each is silent until it has named its database, then rests or is busy. Guests are kept in
@@ -123,9 +123,9 @@
 
     def __init__(self, limits: BoxLimits) -> None:
         self._limits = limits
-        self._silent: dict[Guest, float] = {}
-        self._resting: dict[Guest, float] = {}
-        self._busy: set[Guest] = set()
+        self._silent: dict[CallerConnection, float] = {}
+        self._resting: dict[CallerConnection, float] = {}
+        self._busy: set[CallerConnection] = set()
         self._nearly_full = False
         self._room = room_for_callers(limits, 0)
 
@@ -153,34 +153,34 @@
         """Whether nobody more can be taken."""
         return len(self) >= self.room
 
-    def came(self, guest: Guest, now: float) -> None:
+    def came(self, caller: CallerConnection, now: float) -> None:
         """Note a connection; it has named no database yet."""
-        self._silent[guest] = now
+        self._silent[caller] = now
 
-    def rests(self, guest: Guest, now: float) -> None:
+    def rests(self, caller: CallerConnection, now: float) -> None:
         """Note that a guest waits for its caller, outside any transaction."""
-        self.left(guest)
-        self._resting[guest] = now
+        self.left(caller)
+        self._resting[caller] = now
 
-    def works(self, guest: Guest) -> None:
+    def works(self, caller: CallerConnection) -> None:
         """Note that a guest has a statement under way, or a transaction."""
-        self.left(guest)
-        self._busy.add(guest)
+        self.left(caller)
+        self._busy.add(caller)
 
-    def left(self, guest: Guest) -> None:
+    def left(self, caller: CallerConnection) -> None:
         """Note that a guest is gone."""
-        self._silent.pop(guest, None)
-        self._resting.pop(guest, None)
-        self._busy.discard(guest)
+        self._silent.pop(caller, None)
+        self._resting.pop(caller, None)
+        self._busy.discard(caller)
 
-    def who_leaves(self, now: float) -> Guest | None:
+    def who_leaves(self, now: float) -> CallerConnection | None:
         """Return whom to close so that somebody else can come in; None if nobody.
 
         Those that never asked for anything go first. Then goes who rests longest: its caller
         notices nothing but a session that it opens anew elsewhere.
         """
-        for guests, least_s in ((self._silent, GREETING_LEAST_S), (self._resting, REST_LEAST_S)):
-            first = next(iter(guests), None)
-            if first is not None and now - guests[first] >= least_s:
+        for callers, least_s in ((self._silent, MIN_HANDSHAKE_S), (self._resting, MIN_IDLE_S)):
+            first = next(iter(callers), None)
+            if first is not None and now - callers[first] >= least_s:
                 return first
         return None
--- a/wharftiller/daemons/sessions/gauges.py
+++ b/wharftiller/daemons/sessions/gauges.py
@@ -14,12 +14,12 @@
     from collections.abc import Iterator
 
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-    from wharftiller.daemons.sessions.serving.connection_admission import CallerDoor
+    from wharftiller.daemons.sessions.serving.connection_admission import ConnectionAdmission
     from wharftiller.daemons.sessions.state import SharedState
 
 
 def believed(
-    state: SharedState, directory: BoxDirectory, door: CallerDoor, buckets: int
+    state: SharedState, directory: BoxDirectory, door: ConnectionAdmission, buckets: int
 ) -> Iterator[Gauge]:
     """Yield every gauge."""
     now = trio.current_time()
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -39,7 +39,7 @@
 from wharftiller.daemons.sessions.membership.snapshots import SnapshotApplier
 from wharftiller.daemons.sessions.membership.tombstones import Tombstones
 from wharftiller.daemons.sessions.serving.callers import SessionServer
-from wharftiller.daemons.sessions.serving.connection_admission import CallerDoor
+from wharftiller.daemons.sessions.serving.connection_admission import ConnectionAdmission
 from wharftiller.daemons.sessions.serving.drain import LAST_MOMENT_S, Drain
 from wharftiller.daemons.sessions.serving.statements import StatementRunner
 from wharftiller.daemons.sessions.state import SharedState
@@ -138,7 +138,7 @@
         )
         gate = RateLimiter(self.state, self._directory, keeper_links, self._keeper_desk)
         self._runner = StatementRunner(self.state, gate, forwarder)
-        self.door = CallerDoor(self.state, limits, open_streams)
+        self.door = ConnectionAdmission(self.state, limits, open_streams)
         self.sessions = SessionServer(self.state, self._runner, self.door)
         self._for_others = ForwardedExecutor(self.state, gate)
         self._drain = Drain(self.sessions, self._for_others)
--- a/wharftiller/daemons/sessions/serving/callers.py
+++ b/wharftiller/daemons/sessions/serving/callers.py
@@ -13,7 +13,10 @@
     from collections.abc import Collection
 
     from wharftiller.core.sessions.statements import Reply, Statement
-    from wharftiller.daemons.sessions.serving.connection_admission import CallerDoor, Guest
+    from wharftiller.daemons.sessions.serving.connection_admission import (
+        CallerConnection,
+        ConnectionAdmission,
+    )
     from wharftiller.daemons.sessions.serving.statements import StatementRunner
     from wharftiller.daemons.sessions.state import SharedState
 
@@ -35,13 +38,15 @@
     """A session being served, and its caller's connection."""
 
     session: Session
-    guest: Guest
+    caller: CallerConnection
 
 
 class SessionServer:
     """Serves callers' sessions; can stop without cutting a request."""
 
-    def __init__(self, state: SharedState, runner: StatementRunner, door: CallerDoor) -> None:
+    def __init__(
+        self, state: SharedState, runner: StatementRunner, door: ConnectionAdmission
+    ) -> None:
         self._state = state
         self._runner = runner
         self._door = door
@@ -56,11 +61,11 @@
         return len(self._served)
 
     async def serve(
-        self, channel: CallerChannel, database: str, key_digest: str, guest: Guest
+        self, channel: CallerChannel, database: str, key_digest: str, caller: CallerConnection
     ) -> None:
         """Serve one session until the caller leaves, this box stops or it needs the room."""
         self._numbers += 1
-        served = _Served(Session(self._numbers, database, key_digest), guest)
+        served = _Served(Session(self._numbers, database, key_digest), caller)
         self._served.add(served)
         try:
             while (statement := await self._next(served, channel)) is not None:
@@ -72,27 +77,29 @@
 
     async def _next(self, served: _Served, channel: CallerChannel) -> Statement | None:
         """Return the next statement; None at the session's end."""
-        guest = served.guest
+        caller = served.caller
         while not self._must_close(served):
             self._note_rest(served)
             with trio.CancelScope(deadline=self._rest_until(served.session)) as waiting:
-                guest.waiting = waiting
+                caller.waiting = waiting
                 statement = await channel.receive()
-                guest.waiting = None
-                self._door.works(guest)
+                caller.waiting = None
+                self._door.works(caller)
                 return statement
-            guest.waiting = None
+            caller.waiting = None
             self._end_rested(served.session)
         return None
 
     def _note_rest(self, served: _Served) -> None:
         if served.session.transaction is None:
-            self._door.rests(served.guest)
+            self._door.rests(served.caller)
 
     def _must_close(self, served: _Served) -> bool:
         if self._closing_all:
             return True
-        return served.session.transaction is None and (self._closing_idle or served.guest.sent_away)
+        return served.session.transaction is None and (
+            self._closing_idle or served.caller.sent_away
+        )
 
     def _rest_until(self, session: Session) -> float:
         """Return until when the session may rest, in seconds."""
@@ -120,9 +127,9 @@
         sent = 0
         for served in self._served:
             route = routes.get(served.session.database)
-            resting = served.guest.waiting is not None and served.session.transaction is None
+            resting = served.caller.waiting is not None and served.session.transaction is None
             if resting and route is not None and route.group in groups:
-                served.guest.send_away()
+                served.caller.send_away()
                 sent += 1
         return sent
 
@@ -133,6 +140,6 @@
 
     def _cancel_waiting(self) -> None:
         for served in self._served:
-            waiting = served.guest.waiting
+            waiting = served.caller.waiting
             if waiting is not None and self._must_close(served):
                 waiting.cancel()
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from wharftiller.core.sessions.connection_limits import Door
+from wharftiller.core.sessions.connection_limits import ConnectionLimiter
 from wharftiller.core.sessions.retry_after import LEAST_S
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 
 
 @attrs.define(eq=False)
-class Guest:
+class CallerConnection:
     """One caller's connection.
 
     Attributes
@@ -42,7 +42,7 @@
             self.waiting.cancel()
 
 
-class CallerDoor:
+class ConnectionAdmission:
     """The door of one box.
 
     Parameters
@@ -56,7 +56,7 @@
     ) -> None:
         self._state = state
         self._open_streams = open_streams
-        self._door: Door[Guest] = Door(limits)
+        self._door: ConnectionLimiter[CallerConnection] = ConnectionLimiter(limits)
         self._told_at = 0.0
         self._refused = 0
         self._sent_away = 0
@@ -74,7 +74,7 @@
         """Whether new callers are better sent to other boxes."""
         return self._door.is_nearly_full
 
-    def enter(self) -> Guest | None:
+    def enter(self) -> CallerConnection | None:
         """Take one more connection; None if there is no room for it."""
         now = trio.current_time()
         self._door.note_own(self._open_streams())
@@ -82,10 +82,10 @@
             self._refused += 1
             self._state.figures.doors["refused"] += 1
             return None
-        guest = Guest()
-        self._door.came(guest, now)
+        caller = CallerConnection()
+        self._door.came(caller, now)
         self._state.figures.doors["taken"] += 1
-        return guest
+        return caller
 
     def _make_room(self, now: float) -> bool:
         leaving = self._door.who_leaves(now)
@@ -101,17 +101,17 @@
         """Return what a caller that was not taken is told: the next try reaches another box."""
         return f"{len(self)} sessions are open here; come back in {LEAST_S * 1000:.0f} ms"
 
-    def rests(self, guest: Guest) -> None:
+    def rests(self, caller: CallerConnection) -> None:
         """Note that a session waits for its caller, outside any transaction."""
-        self._door.rests(guest, trio.current_time())
+        self._door.rests(caller, trio.current_time())
 
-    def works(self, guest: Guest) -> None:
+    def works(self, caller: CallerConnection) -> None:
         """Note that a session has a statement under way."""
-        self._door.works(guest)
+        self._door.works(caller)
 
-    def leave(self, guest: Guest) -> None:
+    def leave(self, caller: CallerConnection) -> None:
         """Note that a connection ended."""
-        self._door.left(guest)
+        self._door.left(caller)
 
     def maintain(self, now: float) -> None:
         """Count the box's own connections; tell what was refused, a line at most a second."""
--- a/wharftiller/platform/callers.py
+++ b/wharftiller/platform/callers.py
@@ -27,7 +27,7 @@
     from wharftiller.core.sessions.routes import Route
     from wharftiller.core.sessions.statements import Reply
     from wharftiller.daemons.sessions.proxy import SessionProxy
-    from wharftiller.daemons.sessions.serving.connection_admission import Guest
+    from wharftiller.daemons.sessions.serving.connection_admission import CallerConnection
 
 GREETING_TIMEOUT_S = 5.0
 """Time a caller may take to name its database, in seconds."""
@@ -75,12 +75,12 @@
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serve one connection until either side ends it."""
         reader = LineReader(stream)
-        guest = self._proxy.door.enter()
-        if guest is None:
+        caller = self._proxy.door.enter()
+        if caller is None:
             await self._refuse_full(stream, reader)
             return
         try:
-            await self._serve(stream, reader, guest)
+            await self._serve(stream, reader, caller)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
         except BodyTooLargeError as error:
@@ -89,7 +89,7 @@
             # A fault in one session must not end the others'.
             self._proxy.state.log.change("session_failed", why=repr(error))
         finally:
-            self._proxy.door.leave(guest)
+            self._proxy.door.leave(caller)
 
     async def _refuse_full(self, stream: trio.abc.Stream, reader: LineReader) -> None:
         """Refuse a caller once it has spoken: closing before that resets what it is told."""
@@ -106,9 +106,11 @@
         finally:
             self._being_refused -= 1
 
-    async def _serve(self, stream: trio.abc.Stream, reader: LineReader, guest: Guest) -> None:
+    async def _serve(
+        self, stream: trio.abc.Stream, reader: LineReader, caller: CallerConnection
+    ) -> None:
         line: bytes | None = None
-        with trio.move_on_after(GREETING_TIMEOUT_S) as guest.waiting:
+        with trio.move_on_after(GREETING_TIMEOUT_S) as caller.waiting:
             line = await reader.line()
         if line is None:
             return
@@ -130,7 +132,7 @@
             return
         await stream.send_all(b"READY I -\r\n")
         channel = LineChannel(stream, reader)
-        await self._proxy.sessions.serve(channel, database, digest, guest)
+        await self._proxy.sessions.serve(channel, database, digest, caller)
 
     async def _route(self, database: str) -> Route | None:
         state = self._proxy.state
--- a/wharftiller/tests/core/sessions/test_connection_limits.py
+++ b/wharftiller/tests/core/sessions/test_connection_limits.py
@@ -6,12 +6,12 @@
 
 from wharftiller.core.sessions.connection_limits import (
     CALLERS_FLOOR,
-    GREETING_LEAST_S,
     GROWTH_MOST,
+    MIN_HANDSHAKE_S,
+    MIN_IDLE_S,
     OWN_FLOOR,
-    REST_LEAST_S,
     BoxLimits,
-    Door,
+    ConnectionLimiter,
     TooFewDescriptorsError,
     room_for_callers,
 )
@@ -20,9 +20,11 @@
 ALL = [(700, 152), (1_640, 152), (4_300, 200), (8_192, 552)]
 
 
-def small_door() -> Door[str]:
+def small_door() -> ConnectionLimiter[str]:
     """Return a door with room for the least number of callers."""
-    door: Door[str] = Door(BoxLimits(descriptors=OWN_FLOOR + CALLERS_FLOOR))
+    door: ConnectionLimiter[str] = ConnectionLimiter(
+        BoxLimits(descriptors=OWN_FLOOR + CALLERS_FLOOR)
+    )
     door.note_own(0)
     return door
 
@@ -74,7 +76,7 @@
         door.came("rests", 0.0)
         door.rests("rests", 0.0)
         door.came("silent", 5.0)
-        assert door.who_leaves(5.0 + GREETING_LEAST_S) == "silent"
+        assert door.who_leaves(5.0 + MIN_HANDSHAKE_S) == "silent"
 
     def test_then_who_rests_longest(self) -> None:
         door = small_door()
@@ -88,17 +90,17 @@
         door = small_door()
         door.works("busy")
         door.came("new", 9.9)
-        door.rests("rested a moment", 10.0 - REST_LEAST_S / 2)
+        door.rests("rested a moment", 10.0 - MIN_IDLE_S / 2)
         assert door.who_leaves(10.0) is None
 
     def test_a_crowd_in_any_order_is_counted_once(self) -> None:
         door = small_door()
         for number in range(50):
-            guest = str(number % 7)
-            door.came(guest, 0.0)
-            door.rests(guest, 0.0)
-            door.works(guest)
-            door.rests(guest, 1.0)
+            caller = str(number % 7)
+            door.came(caller, 0.0)
+            door.rests(caller, 0.0)
+            door.works(caller)
+            door.rests(caller, 1.0)
         assert len(door) == 7
         for number in range(7):
             door.left(str(number))
--- a/wharftiller/tests/platform/test_connection_admission.py
+++ b/wharftiller/tests/platform/test_connection_admission.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from wharftiller.core.sessions.connection_limits import GREETING_LEAST_S, REST_LEAST_S, BoxLimits
+from wharftiller.core.sessions.connection_limits import MIN_HANDSHAKE_S, MIN_IDLE_S, BoxLimits
 from wharftiller.request_timeline import read_events
 from wharftiller.run_losses import losses_of
 from wharftiller.tests.platform.world import BoxProcess, Caller, World, run_in_world
@@ -55,7 +55,7 @@
         async def story(world: World) -> None:
             box = world.boxes["box-1"]
             open_ = await fill(world, box)
-            await trio.sleep(REST_LEAST_S)
+            await trio.sleep(MIN_IDLE_S)
             assert (await open_[0].ask("READ seat1"))[-1].startswith("READY I")
             newcomer = await world.call(box, "primary")
             assert (await newcomer.ask("WRITE seat1 anna"))[0] == "ROW written"
@@ -71,7 +71,7 @@
             await booking.ask("BEGIN")
             await booking.ask("WRITE seat1 anna")
             open_ = await fill(world, box)
-            await trio.sleep(REST_LEAST_S)
+            await trio.sleep(MIN_IDLE_S)
             for _ in open_:
                 await world.call(box, "primary")
             assert (await booking.ask("COMMIT"))[0].startswith("COMPLETE")
@@ -86,7 +86,7 @@
             served = [await world.call(box, "primary") for _ in range(5)]
             for _ in range(LITTLE.connections):
                 await world.network.host("10.8.0.2").connect(f"{box.ip}:1")
-            await trio.sleep(max(GREETING_LEAST_S, REST_LEAST_S))
+            await trio.sleep(max(MIN_HANDSHAKE_S, MIN_IDLE_S))
             for _ in range(10):
                 await world.call(box, "primary")
             for caller in served:
