--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from wharftiller.core.sessions.metrics import AnswerLabels, Figures
+from wharftiller.core.sessions.metrics import AnswerLabels, SessionMetrics
 from wharftiller.core.sessions.session import Session
 from wharftiller.core.sessions.statements import (
     Access,
@@ -50,7 +50,7 @@
         return len(data)
 
     log = DecisionLog("proxy", "box-1", write)
-    figures = Figures()
+    figures = SessionMetrics()
     session = Session(1, "seats", "desk")
     labels = AnswerLabels("r-1", "BoundedReads", "Direct", "done")
     started = time.process_time()
--- a/wharftiller/core/sessions/metrics.py
+++ b/wharftiller/core/sessions/metrics.py
@@ -68,7 +68,7 @@
 
 
 @attrs.define
-class Figures:
+class SessionMetrics:
     """Everything counted by one process.
 
     Attributes
--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from wharftiller.core.sessions.metrics import Figures
+    from wharftiller.core.sessions.metrics import SessionMetrics
     from wharftiller.core.sessions.routes import EndpointEntry
     from wharftiller.daemons.sessions.interfaces import EndpointDialer
     from wharftiller.decisions import DecisionLog
@@ -41,7 +41,7 @@
         self,
         dialer: EndpointDialer,
         log: DecisionLog,
-        figures: Figures,
+        figures: SessionMetrics,
         changed: Callable[[], None],
     ) -> None:
         self._dialer = dialer
--- a/wharftiller/daemons/sessions/serving/answer_log.py
+++ b/wharftiller/daemons/sessions/serving/answer_log.py
@@ -18,7 +18,7 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 
-def note_answer(
+def record_answer(
     state: SharedState, session: Session, statement: Statement, reply: Reply, arrived_at: float
 ) -> None:
     """Log and count how a statement ended."""
@@ -34,7 +34,7 @@
     _log(state, session, statement, reply, took_s, route)
 
 
-def note_run_for_box(
+def record_forwarded(
     state: SharedState, session: Session, statement: Statement, reply: Reply, arrived_at: float
 ) -> None:
     """Log how a statement ended that was run for another box, which counts the answer."""
@@ -43,7 +43,7 @@
     _log(state, session, statement, reply, took_s, route)
 
 
-def note_passed_over(state: SharedState, row: EndpointRow, statement: Statement, why: str) -> None:
+def record_skipped(state: SharedState, row: EndpointRow, statement: Statement, why: str) -> None:
     """Log and count that an endpoint was asked and did not serve."""
     state.figures.statements[row.name, "passed_over"] += 1
     state.log.event(
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -10,7 +10,7 @@
 from wharftiller.core.errors import ExchangeError
 from wharftiller.core.sessions.retry_after import Cause
 from wharftiller.core.sessions.statements import RefusalKind, Reply, SessionState
-from wharftiller.daemons.sessions.serving.answer_log import note_passed_over
+from wharftiller.daemons.sessions.serving.answer_log import record_skipped
 from wharftiller.daemons.sessions.serving.confirmation import confirm_write
 from wharftiller.daemons.sessions.serving.routed import (
     BUSY_PAUSE_S,
@@ -213,15 +213,15 @@
                     self._state.learn_point(row, reply.position, asked_at)
                 return attrs.evolve(reply, state=SessionState.IDLE)
         except (NoPlaceError, NoTokenError) as error:
-            note_passed_over(self._state, row, routed.statement, str(error))
+            record_skipped(self._state, row, routed.statement, str(error))
             raise
         except (ExchangeError, StatementRefusedError) as error:
-            note_passed_over(self._state, row, routed.statement, str(error))
+            record_skipped(self._state, row, routed.statement, str(error))
             return None
         finally:
             if connection is not None:
                 connection.release(state)
-        note_passed_over(self._state, row, routed.statement, "no answer in time")
+        record_skipped(self._state, row, routed.statement, "no answer in time")
         return None
 
 
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -18,7 +18,7 @@
     refused,
 )
 from wharftiller.core.sessions.workspaces import Anyone, Member, UnknownKey, identify
-from wharftiller.daemons.sessions.serving.answer_log import note_answer, note_run_for_box
+from wharftiller.daemons.sessions.serving.answer_log import record_answer, record_forwarded
 from wharftiller.daemons.sessions.serving.autocommit import SingleRunner
 from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
 from wharftiller.daemons.sessions.serving.read_timeouts import ReadPatience
@@ -57,7 +57,7 @@
     async def run(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
         """Return the one answer to ``statement``; always an answer, whatever fails."""
         reply = await self._run(session, statement, arrived_at)
-        note_answer(self._state, session, statement, reply, arrived_at)
+        record_answer(self._state, session, statement, reply, arrived_at)
         return reply
 
     async def _run(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
@@ -145,7 +145,7 @@
             )
         else:
             reply = await self._singles.run(session, route, statement, arrived_at)
-        note_run_for_box(self._state, session, statement, reply, arrived_at)
+        record_forwarded(self._state, session, statement, reply, arrived_at)
         return reply
 
     def begin_for_box(
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -9,7 +9,7 @@
 
 from wharftiller.core.leadership.lease import LEASE_S, LeaseTable
 from wharftiller.core.leadership.record import FailingOver, Leading
-from wharftiller.core.sessions.metrics import Figures
+from wharftiller.core.sessions.metrics import SessionMetrics
 from wharftiller.core.sessions.retry_after import PrimaryOutlook
 from wharftiller.core.sessions.routes import SessionConfiguration
 from wharftiller.core.sessions.state_versions import StateVersions
@@ -94,7 +94,7 @@
         self.log = log
         self.configuration = SessionConfiguration()
         self.leases = LeaseTable()
-        self.figures = Figures()
+        self.figures = SessionMetrics()
         self.endpoints = EndpointTable(dialer, log, self.figures, self.wake)
         self.positions = PrimaryPositions(self.leases)
         self.work = InFlightWork(self.wake)
--- a/wharftiller/edges/metrics_page.py
+++ b/wharftiller/edges/metrics_page.py
@@ -13,12 +13,12 @@
 
     from prometheus_client.metrics_core import Metric
 
-    from wharftiller.core.sessions.metrics import Figures
+    from wharftiller.core.sessions.metrics import SessionMetrics
 
 PREFIX = "wharftiller"
 
 
-def metrics_page(figures: Figures, gauges: Iterable[Gauge]) -> bytes:
+def metrics_page(figures: SessionMetrics, gauges: Iterable[Gauge]) -> bytes:
     """Return the page."""
     from prometheus_client import CollectorRegistry, generate_latest
 
@@ -46,7 +46,7 @@
 class _Collector:
     """Turns figures into metric families."""
 
-    def __init__(self, figures: Figures, gauges: Iterable[Gauge]) -> None:
+    def __init__(self, figures: SessionMetrics, gauges: Iterable[Gauge]) -> None:
         self._figures = figures
         self._gauges = gauges
 
--- a/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
+++ b/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
@@ -11,7 +11,7 @@
 import trio.testing
 
 from wharftiller.core.sessions.allowances import Grant
-from wharftiller.core.sessions.metrics import Figures
+from wharftiller.core.sessions.metrics import SessionMetrics
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
 from wharftiller.daemons.sessions.allowances.rate_limiter import USED_WITHIN_S, RateLimiter
 from wharftiller.daemons.sessions.serving.routed import NoTokenError
@@ -37,7 +37,7 @@
 def with_gate(tokens: int, story: Callable[[RateLimiter, Desk], Awaitable[None]]) -> None:
     async def main() -> None:
         desk = Desk(tokens)
-        state = SimpleNamespace(box="one", figures=Figures(), log=None)
+        state = SimpleNamespace(box="one", figures=SessionMetrics(), log=None)
         directory = SimpleNamespace(list=SimpleNamespace(near=["one"]))
         gate = RateLimiter(state, directory, None, desk)  # type: ignore[arg-type]
         await story(gate, desk)
