--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -50,13 +50,13 @@
         return len(data)
 
     log = DecisionLog("proxy", "box-1", write)
-    figures = SessionMetrics()
+    metrics = SessionMetrics()
     session = Session(1, "seats", "desk")
     labels = AnswerLabels("r-1", "BoundedReads", "Direct", "done")
     started = time.process_time()
     for number, request in enumerate(ids):
         statement = Statement(request, "READ seat1", Direct(Access.READ))
-        figures.answered(labels, 0.02)
+        metrics.answered(labels, 0.02)
         log.answered(session, statement, reply, 0.02, 0.25, lambda: BELIEVED)
         if number % 100 == 0:
             # As the process does twice a second; also lifts the bound of lines a second.
--- a/wharftiller/daemons/sessions/allowances/rate_limiter.py
+++ b/wharftiller/daemons/sessions/allowances/rate_limiter.py
@@ -127,10 +127,10 @@
             return
         grant = await self._ask(workspace, held)
         if held.use(trio.current_time()):
-            self._state.figures.allowances["granted"] += 1
+            self._state.metrics.allowances["granted"] += 1
             admission.holds_token = True
             return
-        self._state.figures.allowances["refused"] += 1
+        self._state.metrics.allowances["refused"] += 1
         rate = workspace.allowance.rate_per_s
         raise NoTokenError(
             f"workspace {workspace.name} has no token left here of its {rate:g} a second",
@@ -166,7 +166,7 @@
                 continue
             held.granted(grant.tokens, now, keeper)
             return grant
-        self._state.figures.allowances["unanswered"] += 1
+        self._state.metrics.allowances["unanswered"] += 1
         raise NoTokenError(
             f"no box that keeps the allowance of workspace {workspace.name} answers",
             Cause.BOX_LOST,
--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -41,11 +41,11 @@
         self,
         dialer: EndpointDialer,
         log: DecisionLog,
-        figures: SessionMetrics,
+        metrics: SessionMetrics,
         changed: Callable[[], None],
     ) -> None:
         self._dialer = dialer
-        self._figures = figures
+        self._metrics = metrics
         self._log = log
         self._changed = changed
         self.rows: dict[str, EndpointRow] = {}
@@ -98,7 +98,7 @@
             row = self.rows[name] = EndpointRow(entry)
             pool = EndpointPool(row, self._dialer, self._share_of(row))
             self.pools[name] = pool
-            self._figures.connections[name] = pool.counts
+            self._metrics.connections[name] = pool.counts
             self._log.change("endpoint_found", endpoint=name, group=entry.group, leads=entry.leads)
         if row.take_entry(entry):
             self._log.change("endpoint_started_again", endpoint=name, group=entry.group)
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -273,7 +273,7 @@
             self._gateways.note_lacking(gateway.name)
         else:
             self._gateways.note_able(gateway.name)
-        self._state.figures.forwarded[gateway.name, told.reply.outcome] += 1
+        self._state.metrics.forwarded[gateway.name, told.reply.outcome] += 1
 
     @staticmethod
     def _unknown(routed: RoutedStatement, why: str) -> StatementRefusedError:
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -255,7 +255,7 @@
         if request.path != "/metrics":
             raise UnknownPathError(f"no {request.path}; the metrics are at /metrics")
         gauges = believed(self.state, self._directory, self.door, self._keeper_desk.kept)
-        page = metrics_page(self.state.figures, gauges)
+        page = metrics_page(self.state.metrics, gauges)
         return HttpResponse(200, page)
 
     def _missed_change_found(self) -> None:
--- a/wharftiller/daemons/sessions/serving/answer_log.py
+++ b/wharftiller/daemons/sessions/serving/answer_log.py
@@ -30,7 +30,7 @@
         type(statement.body).__name__,
         reply.outcome,
     )
-    state.figures.answered(labels, took_s)
+    state.metrics.answered(labels, took_s)
     _log(state, session, statement, reply, took_s, route)
 
 
@@ -45,7 +45,7 @@
 
 def record_skipped(state: SharedState, row: EndpointRow, statement: Statement, why: str) -> None:
     """Log and count that an endpoint was asked and did not serve."""
-    state.figures.statements[row.name, "passed_over"] += 1
+    state.metrics.statements[row.name, "passed_over"] += 1
     state.log.event(
         "endpoint_passed_over", request=statement.request_id, endpoint=row.name, why=why
     )
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -80,11 +80,11 @@
         self._door.note_own(self._open_streams())
         if self._door.is_full and not self._make_room(now):
             self._refused += 1
-            self._state.figures.doors["refused"] += 1
+            self._state.metrics.doors["refused"] += 1
             return None
         caller = CallerConnection()
         self._door.came(caller, now)
-        self._state.figures.doors["taken"] += 1
+        self._state.metrics.doors["taken"] += 1
         return caller
 
     def _make_room(self, now: float) -> bool:
@@ -94,7 +94,7 @@
         self._door.left(leaving)
         leaving.send_away()
         self._sent_away += 1
-        self._state.figures.doors["sent_away"] += 1
+        self._state.metrics.doors["sent_away"] += 1
         return True
 
     def refusal(self) -> str:
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -94,15 +94,15 @@
         self.log = log
         self.configuration = SessionConfiguration()
         self.leases = LeaseTable()
-        self.figures = SessionMetrics()
-        self.endpoints = EndpointTable(dialer, log, self.figures, self.wake)
+        self.metrics = SessionMetrics()
+        self.endpoints = EndpointTable(dialer, log, self.metrics, self.wake)
         self.positions = PrimaryPositions(self.leases)
         self.work = InFlightWork(self.wake)
         self.check_soon = trio.Event()
         self.serves_group: Callable[[str], bool] = lambda group: True
         self.told_usable: dict[str, bool] = {}
         self.platform_away = False
-        log.counts = self.figures.events
+        log.counts = self.metrics.events
 
     # Configuration ------------------------------------------------------
 
@@ -229,13 +229,13 @@
 
     def learn_point(self, row: EndpointRow, position: LogPosition | None, asked_at: float) -> None:
         """Note the primary's log position in an answer to what was asked at ``asked_at``."""
-        self.figures.statements[row.name, "done"] += 1
+        self.metrics.statements[row.name, "done"] += 1
         if position is not None and self.may_acknowledge(row):
             self.positions.learn(row.entry.group, position, asked_at)
 
     def learn_refusal(self, row: EndpointRow, refusal: Refusal, after: LogPosition | None) -> None:
         """Note what an endpoint's refusal tells of it."""
-        self.figures.statements[row.name, refusal.kind.value] += 1
+        self.metrics.statements[row.name, refusal.kind.value] += 1
         match refusal.kind:
             case RefusalKind.REPLICA_BEHIND if after is not None:
                 row.refused_as_behind(after, trio.current_time())
--- a/wharftiller/edges/metrics_page.py
+++ b/wharftiller/edges/metrics_page.py
@@ -18,12 +18,12 @@
 PREFIX = "wharftiller"
 
 
-def metrics_page(figures: SessionMetrics, gauges: Iterable[Gauge]) -> bytes:
+def metrics_page(metrics: SessionMetrics, gauges: Iterable[Gauge]) -> bytes:
     """Return the page."""
     from prometheus_client import CollectorRegistry, generate_latest
 
     registry = CollectorRegistry()
-    registry.register(_Collector(figures, gauges))
+    registry.register(_Collector(metrics, gauges))
     return generate_latest(registry)
 
 
@@ -46,8 +46,8 @@
 class _Collector:
     """Turns figures into metric families."""
 
-    def __init__(self, figures: SessionMetrics, gauges: Iterable[Gauge]) -> None:
-        self._figures = figures
+    def __init__(self, metrics: SessionMetrics, gauges: Iterable[Gauge]) -> None:
+        self._metrics = metrics
         self._gauges = gauges
 
     def collect(self) -> Iterator[Metric]:
@@ -65,7 +65,7 @@
             "Answers to callers.",
             labels=("route", "reading", "statement", "outcome"),
         )
-        for labels, count in self._figures.answers.items():
+        for labels, count in self._metrics.answers.items():
             values = (labels.route, labels.reading, labels.statement, labels.outcome)
             answers.add_metric(values, count)
         yield answers
@@ -74,7 +74,7 @@
             "Statements sent to endpoints, by what came of them.",
             labels=("endpoint", "outcome"),
         )
-        for pair, count in self._figures.statements.items():
+        for pair, count in self._metrics.statements.items():
             statements.add_metric(pair, count)
         yield statements
         forwarded = CounterMetricFamily(
@@ -82,7 +82,7 @@
             "Statements passed to a group's home box, by what came of them.",
             labels=("home", "outcome"),
         )
-        for pair, count in self._figures.forwarded.items():
+        for pair, count in self._metrics.forwarded.items():
             forwarded.add_metric(pair, count)
         yield forwarded
         allowances = CounterMetricFamily(
@@ -90,7 +90,7 @@
             "Questions for tokens of workspaces' allowances, by what came of them.",
             labels=("outcome",),
         )
-        for outcome, count in self._figures.allowances.items():
+        for outcome, count in self._metrics.allowances.items():
             allowances.add_metric((outcome,), count)
         yield allowances
         doors = CounterMetricFamily(
@@ -98,7 +98,7 @@
             "Callers' connections, by what came of them at the door.",
             labels=("outcome",),
         )
-        for outcome, count in self._figures.doors.items():
+        for outcome, count in self._metrics.doors.items():
             doors.add_metric((outcome,), count)
         yield doors
         yield from self._connections()
@@ -107,7 +107,7 @@
             "Logged events, those left out of the log included.",
             labels=("event",),
         )
-        for event, count in self._figures.events.items():
+        for event, count in self._metrics.events.items():
             events.add_metric((event,), count)
         yield events
 
@@ -122,7 +122,7 @@
             "Idle connections closed for another workspace's.",
             labels=("endpoint",),
         )
-        for endpoint, counts in self._figures.connections.items():
+        for endpoint, counts in self._metrics.connections.items():
             opened.add_metric((endpoint,), counts.opened)
             replaced.add_metric((endpoint,), counts.replaced)
         yield opened
@@ -136,7 +136,7 @@
             "Time from a statement's arrival to its answer.",
             labels=("reading",),
         )
-        for reading, histogram in self._figures.latency.items():
+        for reading, histogram in self._metrics.latency.items():
             family.add_metric((reading,), histogram.cumulative(), histogram.sum_s)
         yield family
 
--- a/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
+++ b/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
@@ -37,7 +37,7 @@
 def with_gate(tokens: int, story: Callable[[RateLimiter, Desk], Awaitable[None]]) -> None:
     async def main() -> None:
         desk = Desk(tokens)
-        state = SimpleNamespace(box="one", figures=SessionMetrics(), log=None)
+        state = SimpleNamespace(box="one", metrics=SessionMetrics(), log=None)
         directory = SimpleNamespace(list=SimpleNamespace(near=["one"]))
         gate = RateLimiter(state, directory, None, desk)  # type: ignore[arg-type]
         await story(gate, desk)
