--- a/wharftiller/core/sessions/retry_after.py
+++ b/wharftiller/core/sessions/retry_after.py
@@ -27,7 +27,7 @@
 MOST_S = 8.0
 """Nobody is told to come back later, in seconds: the longest wait of a change of primary."""
 
-CREST_S = 1.0
+PEAK_S = 1.0
 """Time beyond a queue's own after which callers that it was too long for come back, in seconds.
 
 A crest lasts for seconds. Who comes back within it is refused again or takes another's place, and
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen
-class PrimaryOutlook:
+class PrimaryAvailability:
     """What a box knows of a primary that cannot be used.
 
     Attributes
@@ -83,7 +83,7 @@
         return Cause.NO_LEASE if self.silent_s is None else Cause.PRIMARY_SILENT
 
 
-def primary_back_in_s(outlook: PrimaryOutlook, change_s: float) -> float:
+def primary_retry_after_s(outlook: PrimaryAvailability, change_s: float) -> float:
     """Return in how many seconds a primary can probably be used again.
 
     Parameters
@@ -106,7 +106,7 @@
     return UNREACHABLE_BEHIND_CUT_S + LEASE_S + change_s - outlook.silent_s
 
 
-def back_after_queue_s(queue_s: float) -> float:
+def queue_retry_after_s(queue_s: float) -> float:
     """Return when a caller should come back for whom a queue was too long, in seconds from now.
 
     Parameters
@@ -114,10 +114,10 @@
     queue_s : float
         How long that queue takes, in seconds.
     """
-    return queue_s + CREST_S
+    return queue_s + PEAK_S
 
 
-def told_s(after_s: float, request_id: str) -> float:
+def retry_after_s(after_s: float, request_id: str) -> float:
     """Return what one caller is told for ``after_s`` seconds, within sensible bounds."""
     part = zlib.crc32(request_id.encode()) % 1000 / 1000
     spread = 1.0 + SPREAD * (2.0 * part - 1.0)
--- a/wharftiller/daemons/sessions/serving/endpoint_selection.py
+++ b/wharftiller/daemons/sessions/serving/endpoint_selection.py
@@ -10,8 +10,8 @@
 from wharftiller.core.sessions.retry_after import (
     SOON_S,
     Cause,
-    back_after_queue_s,
-    primary_back_in_s,
+    primary_retry_after_s,
+    queue_retry_after_s,
 )
 from wharftiller.core.sessions.routing import AnyReplica, need_of_read, replica_order
 from wharftiller.core.sessions.statements import RefusalKind
@@ -118,8 +118,8 @@
                 if not state.primary_expected(group):
                     break
                 await state.leadership_changed()
-        outlook = state.primary_outlook(group)
-        after_s = primary_back_in_s(outlook, state.change_s)
+        outlook = state.primary_availability(group)
+        after_s = primary_retry_after_s(outlook, state.change_s)
         detail = f"no primary of {group} can be used now"
         raise StatementRefusedError(RefusalKind.NO_CAPACITY, detail, outlook.cause, after_s)
 
@@ -139,7 +139,7 @@
             )
         except EndpointRefusedError as error:
             if error.at_limit and error.queue_s is not None:
-                after_s = back_after_queue_s(error.queue_s)
+                after_s = queue_retry_after_s(error.queue_s)
                 raise NoPlaceError(str(error), Cause.QUEUE, after_s) from error
             if error.at_limit:
                 raise NoPlaceError(str(error), Cause.ENDPOINT_FULL, SOON_S) from error
--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from wharftiller.core.sessions.retry_after import SOON_S, told_s
+from wharftiller.core.sessions.retry_after import SOON_S, retry_after_s
 from wharftiller.core.sessions.statements import (
     Access,
     Commit,
@@ -68,7 +68,7 @@
         """Return what the caller of ``statement`` is told."""
         detail = self.why
         if self.cause is not None:
-            detail = come_back(self.why, self.after_s, statement)
+            detail = retry_later(self.why, self.after_s, statement)
         return Reply(state, refusal=Refusal(self.kind, detail, self.cause))
 
 
@@ -153,7 +153,7 @@
     return RoutedStatement(session, route, statement, statement.body, needed, arrived_at, until)
 
 
-def come_back(why: str, after_s: float, statement: Statement) -> str:
+def retry_later(why: str, after_s: float, statement: Statement) -> str:
     """Return the detail of a refusal after which nothing is kept and that passes."""
-    told_ms = told_s(after_s, statement.request_id) * 1000
+    told_ms = retry_after_s(after_s, statement.request_id) * 1000
     return f"{why}; nothing is kept, come back in {told_ms:.0f} ms"
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -10,7 +10,7 @@
 from wharftiller.core.leadership.lease import LEASE_S, LeaseTable
 from wharftiller.core.leadership.record import FailingOver, Leading
 from wharftiller.core.sessions.metrics import SessionMetrics
-from wharftiller.core.sessions.retry_after import PrimaryOutlook
+from wharftiller.core.sessions.retry_after import PrimaryAvailability
 from wharftiller.core.sessions.routes import SessionConfiguration
 from wharftiller.core.sessions.state_versions import StateVersions
 from wharftiller.core.sessions.statements import EndpointQuery, RefusalKind, Rollback
@@ -187,20 +187,20 @@
             case None:
                 return True
 
-    def primary_outlook(self, group: str) -> PrimaryOutlook:
+    def primary_availability(self, group: str) -> PrimaryAvailability:
         """Return what is known of a primary that cannot be used now."""
         now = trio.current_time()
         match self.leases.record.groups.get(group):
             case FailingOver(planned=planned, ordered=ordered):
                 since = self._record_at if self._changing_since is None else self._changing_since
-                return PrimaryOutlook(now - since, planned or ordered)
+                return PrimaryAvailability(now - since, planned or ordered)
             case Leading(is_unverified=True):
-                return PrimaryOutlook(unverified_s=now - self._record_at)
+                return PrimaryAvailability(unverified_s=now - self._record_at)
             case Leading(endpoint) if endpoint in self.endpoints.rows:
                 silent_at = self.endpoints.rows[endpoint].unreachable_since
-                return PrimaryOutlook(silent_s=None if silent_at is None else now - silent_at)
+                return PrimaryAvailability(silent_s=None if silent_at is None else now - silent_at)
             case _:
-                return PrimaryOutlook()
+                return PrimaryAvailability()
 
     def _time_changes(self) -> None:
         """Learn how long changes of primary take."""
--- a/wharftiller/tests/core/sessions/test_retry_after.py
+++ b/wharftiller/tests/core/sessions/test_retry_after.py
@@ -12,9 +12,9 @@
     MOST_S,
     SPREAD,
     Cause,
-    PrimaryOutlook,
-    primary_back_in_s,
-    told_s,
+    PrimaryAvailability,
+    primary_retry_after_s,
+    retry_after_s,
 )
 
 CHANGE_S = 1.0
@@ -24,32 +24,44 @@
     @pytest.mark.parametrize(
         ("outlook", "cause", "back_s"),
         [
-            (PrimaryOutlook(changing_s=0.4, surely=True), Cause.CHANGE_OF_PRIMARY, 0.6),
-            (PrimaryOutlook(changing_s=2.0), Cause.CHANGE_OF_PRIMARY, LEASE_S - 2.0),
-            (PrimaryOutlook(silent_s=0.5), Cause.PRIMARY_SILENT, UNREACHABLE_S + CHANGE_S - 0.5),
-            (PrimaryOutlook(silent_s=5.0), Cause.PRIMARY_SILENT, 2.0 + LEASE_S + CHANGE_S - 5.0),
-            (PrimaryOutlook(), Cause.NO_LEASE, 0.3),
-            (PrimaryOutlook(unverified_s=1.0), Cause.NO_LEASE, ORDERS_EFFECT_S + CHANGE_S - 1.0),
-            (PrimaryOutlook(unverified_s=9.0), Cause.NO_LEASE, UNSETTLED_S + CHANGE_S - 9.0),
+            (PrimaryAvailability(changing_s=0.4, surely=True), Cause.CHANGE_OF_PRIMARY, 0.6),
+            (PrimaryAvailability(changing_s=2.0), Cause.CHANGE_OF_PRIMARY, LEASE_S - 2.0),
+            (
+                PrimaryAvailability(silent_s=0.5),
+                Cause.PRIMARY_SILENT,
+                UNREACHABLE_S + CHANGE_S - 0.5,
+            ),
+            (
+                PrimaryAvailability(silent_s=5.0),
+                Cause.PRIMARY_SILENT,
+                2.0 + LEASE_S + CHANGE_S - 5.0,
+            ),
+            (PrimaryAvailability(), Cause.NO_LEASE, 0.3),
+            (
+                PrimaryAvailability(unverified_s=1.0),
+                Cause.NO_LEASE,
+                ORDERS_EFFECT_S + CHANGE_S - 1.0,
+            ),
+            (PrimaryAvailability(unverified_s=9.0), Cause.NO_LEASE, UNSETTLED_S + CHANGE_S - 9.0),
         ],
     )
     def test_the_time_is_what_is_left_of_what_is_known(
-        self, outlook: PrimaryOutlook, cause: Cause, back_s: float
+        self, outlook: PrimaryAvailability, cause: Cause, back_s: float
     ) -> None:
         assert outlook.cause is cause
-        assert primary_back_in_s(outlook, CHANGE_S) == pytest.approx(back_s)
+        assert primary_retry_after_s(outlook, CHANGE_S) == pytest.approx(back_s)
 
 
 class TestTold:
     def test_callers_refused_together_are_spread(self) -> None:
-        told = {round(told_s(1.0, f"request-{number}"), 3) for number in range(100)}
+        told = {round(retry_after_s(1.0, f"request-{number}"), 3) for number in range(100)}
         assert len(told) > 80
         assert 1.0 - SPREAD <= min(told) < 0.85
         assert 1.15 < max(told) <= 1.0 + SPREAD
 
     def test_the_same_request_is_told_the_same(self) -> None:
-        assert told_s(1.0, "one") == told_s(1.0, "one")
+        assert retry_after_s(1.0, "one") == retry_after_s(1.0, "one")
 
     @pytest.mark.parametrize(("after_s", "bound_s"), [(-3.0, LEAST_S), (100.0, MOST_S)])
     def test_the_time_stays_within_sense(self, after_s: float, bound_s: float) -> None:
-        assert abs(told_s(after_s, "one") - bound_s) <= SPREAD * bound_s
+        assert abs(retry_after_s(after_s, "one") - bound_s) <= SPREAD * bound_s
--- a/wharftiller/tests/platform/test_load_peaks.py
+++ b/wharftiller/tests/platform/test_load_peaks.py
@@ -23,7 +23,7 @@
 GOAL_S = 0.25
 """Latency goal of every route of the world, in seconds."""
 
-CREST_S = 8.0
+PEAK_S = 8.0
 MOST_TRIES = 3
 """A caller's first try and two more."""
 
@@ -31,7 +31,7 @@
 URGENT, ORDINARY = "primary", "read_own_writes"
 """Kinds of route: the first goes before the second."""
 
-CAN_RUN = SLOTS / WORK_S * CREST_S
+CAN_RUN = SLOTS / WORK_S * PEAK_S
 """Statements that the primary can run while the crest lasts."""
 
 
@@ -55,7 +55,7 @@
         """Have callers come for ``load`` times what the primary can run; return at their end."""
         boxes = list(self.world.boxes.values())
         async with trio.open_nursery() as nursery:
-            until = trio.current_time() + CREST_S
+            until = trio.current_time() + PEAK_S
             while trio.current_time() < until:
                 nursery.start_soon(self._come, kind, self.draw.choice(boxes))
                 await trio.sleep(self.draw.expovariate(load * SLOTS / WORK_S))
