--- a/benchmarks/sessions/policies.py
+++ b/benchmarks/sessions/policies.py
@@ -33,7 +33,7 @@
     "near_reads": Policy(f"{CORE}.sessions.routing", "DISTANCE_COST", 0.0),
     "lead_spared": Policy(f"{CORE}.sessions.routing", "LEAD_COST", 0.0),
     "hold_for_primary": Policy(f"{SHELL}.serving.endpoint_selection", "HOLD_FOR_PRIMARY_S", 0.0),
-    "patience": Policy(f"{SHELL}.serving.autocommit", "READ_PATIENCE", 1.0),
+    "patience": Policy(f"{SHELL}.serving.autocommit", "READ_TIMEOUT_FRACTION", 1.0),
     "concurrency": Policy(f"{CORE}.sessions.concurrency", "DECREASE", 1.0),
 }
 """By name; tests see that each still exists."""
--- a/wharftiller/daemons/sessions/allowances/rate_limiter.py
+++ b/wharftiller/daemons/sessions/allowances/rate_limiter.py
@@ -15,7 +15,7 @@
     token_server_order,
 )
 from wharftiller.core.sessions.retry_after import SOON_S, Cause
-from wharftiller.daemons.sessions.serving.routed import NoTokenError
+from wharftiller.daemons.sessions.serving.routed import RateLimitedError
 from wharftiller.edges.allowances_json import TokenRequest
 
 if TYPE_CHECKING:
@@ -85,7 +85,7 @@
 
         Raises
         ------
-        NoTokenError
+        RateLimitedError
             If the workspace has used its allowance, or no keeper answers.
         """
         admission = Admission(workspace, trio.current_time())
@@ -100,7 +100,7 @@
 
         Raises
         ------
-        NoTokenError
+        RateLimitedError
             If the workspace has used its allowance by now, or no keeper answers.
         """
         is_late = trio.current_time() - admission.taken_at > USED_WITHIN_S
@@ -132,7 +132,7 @@
             return
         self._state.metrics.allowances["refused"] += 1
         rate = workspace.allowance.rate_per_s
-        raise NoTokenError(
+        raise RateLimitedError(
             f"workspace {workspace.name} has no token left here of its {rate:g} a second",
             Cause.ALLOWANCE,
             grant.after_s,
@@ -149,7 +149,7 @@
 
         Raises
         ------
-        NoTokenError
+        RateLimitedError
             If neither it nor who would follow it answers.
         """
         now = trio.current_time()
@@ -167,7 +167,7 @@
             held.granted(grant.tokens, now, keeper)
             return grant
         self._state.metrics.allowances["unanswered"] += 1
-        raise NoTokenError(
+        raise RateLimitedError(
             f"no box that keeps the allowance of workspace {workspace.name} answers",
             Cause.BOX_LOST,
             SOON_S,
--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -14,7 +14,7 @@
 from wharftiller.core.sessions.metrics import ConnectionCounts
 from wharftiller.core.sessions.wait_limits import WaitLimit
 from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
-from wharftiller.daemons.sessions.connections.wait_queue import PlaceQueue, Turn, Waiter
+from wharftiller.daemons.sessions.connections.wait_queue import QueueKey, Waiter, WaitQueue
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -71,7 +71,7 @@
     _idle: list[PooledConnection] = attrs.field(factory=list)
     _all: set[PooledConnection] = attrs.field(factory=set)
     _opening: int = 0
-    _queue: PlaceQueue = attrs.field(factory=PlaceQueue)
+    _queue: WaitQueue = attrs.field(factory=WaitQueue)
     _limit: ConcurrencyLimit = attrs.field(factory=ConcurrencyLimit)
     _refused_until: float = 0.0
 
@@ -158,7 +158,7 @@
         limit: WaitLimit,
     ) -> PooledConnection:
         """Return an idle connection of ``workspace``, of any if None, or a new one."""
-        turn = Turn(priority, arrived_at, next(self._numbers))
+        turn = QueueKey(priority, arrived_at, next(self._numbers))
         begun = False
         while True:
             self._drop_closed()
@@ -211,7 +211,7 @@
         self._idle.remove(connection)
         return connection
 
-    def _expected_wait_s(self, turn: Turn) -> float:
+    def _expected_wait_s(self, turn: QueueKey) -> float:
         """Return how long it takes at least until a statement gets its turn, in seconds."""
         places = max(1, self._limit.places(self.share() + EXTRA_CONNECTIONS))
         queue_s = (self._queue.ahead(turn) + 1) * self.row.service_s / places
@@ -219,7 +219,7 @@
             return queue_s
         return queue_s + max(0.0, self._refused_until - trio.current_time())
 
-    async def _wait(self, turn: Turn, limit: WaitLimit, *, begun: bool) -> None:
+    async def _wait(self, turn: QueueKey, limit: WaitLimit, *, begun: bool) -> None:
         """Wait for a connection.
 
         Parameters
--- a/wharftiller/daemons/sessions/connections/wait_queue.py
+++ b/wharftiller/daemons/sessions/connections/wait_queue.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen(order=True)
-class Turn:
+class QueueKey:
     """When a statement's turn comes: the lower goes first.
 
     Attributes
@@ -37,11 +37,11 @@
         Set when it is its turn.
     """
 
-    turn: Turn
+    turn: QueueKey
     woken: trio.Event = attrs.field(factory=trio.Event, order=False)
 
 
-class PlaceQueue:
+class WaitQueue:
     """The waiting statements of one endpoint."""
 
     def __init__(self) -> None:
@@ -50,11 +50,11 @@
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def ahead(self, turn: Turn) -> int:
+    def ahead(self, turn: QueueKey) -> int:
         """Return how many go before ``turn``."""
         return sum(1 for each in self._waiters if each.turn < turn)
 
-    def join(self, turn: Turn) -> Waiter:
+    def join(self, turn: QueueKey) -> Waiter:
         """Add a statement."""
         waiter = Waiter(turn)
         heapq.heappush(self._waiters, waiter)
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -16,8 +16,8 @@
     BUSY_PAUSE_S,
     BUSY_TRIES,
     READ_TRIES,
-    NoPlaceError,
-    NoTokenError,
+    NoCapacityError,
+    RateLimitedError,
     StatementRefusedError,
     route_statement,
 )
@@ -33,11 +33,11 @@
     from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, RateLimiter
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
     from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
-    from wharftiller.daemons.sessions.serving.read_timeouts import ReadPatience
+    from wharftiller.daemons.sessions.serving.read_timeouts import ReadTimeouts
     from wharftiller.daemons.sessions.serving.routed import RoutedStatement
     from wharftiller.daemons.sessions.state import SharedState
 
-READ_PATIENCE = 0.45
+READ_TIMEOUT_FRACTION = 0.45
 """Part of a read's time-out after which a silent endpoint is given up for another that can."""
 
 
@@ -49,7 +49,7 @@
         state: SharedState,
         gate: RateLimiter,
         chooser: EndpointChooser,
-        patience: ReadPatience,
+        patience: ReadTimeouts,
     ) -> None:
         self._state = state
         self._gate = gate
@@ -146,14 +146,14 @@
     async def _read(self, routed: RoutedStatement, admission: Admission) -> Reply:
         tried: set[str] = set()
         last: Reply | None = None
-        no_place: NoPlaceError | None = None
+        no_place: NoCapacityError | None = None
         may_have_run = False
         for _ in range(READ_TRIES):
             try:
                 row, after = await self._chooser.for_read(routed, routed.arrived_at, tried)
                 tried.add(row.name)
                 reply = await self._read_once(routed, row, after, tried, admission)
-            except NoPlaceError as error:
+            except NoCapacityError as error:
                 if not self._chooser.another_can_read(routed, tried):
                     raise _not_served(error, may_have_run) from None
                 no_place = error
@@ -194,7 +194,7 @@
         admission: Admission,
     ) -> Reply | None:
         """Return the endpoint's answer, or None if none came while another may still be asked."""
-        patient_until = trio.current_time() + READ_PATIENCE * routed.route.timeout_s
+        patient_until = trio.current_time() + READ_TIMEOUT_FRACTION * routed.route.timeout_s
 
         def another_can() -> bool:
             return self._chooser.another_can_read(routed, tried)
@@ -212,7 +212,7 @@
                 if reply.refusal is None:
                     self._state.learn_point(row, reply.position, asked_at)
                 return attrs.evolve(reply, state=SessionState.IDLE)
-        except (NoPlaceError, NoTokenError) as error:
+        except (NoCapacityError, RateLimitedError) as error:
             record_skipped(self._state, row, routed.statement, str(error))
             raise
         except (ExchangeError, StatementRefusedError) as error:
--- a/wharftiller/daemons/sessions/serving/endpoint_selection.py
+++ b/wharftiller/daemons/sessions/serving/endpoint_selection.py
@@ -16,7 +16,7 @@
 from wharftiller.core.sessions.routing import AnyReplica, need_of_read, replica_order
 from wharftiller.core.sessions.statements import RefusalKind
 from wharftiller.core.sessions.wait_limits import wait_limit
-from wharftiller.daemons.sessions.serving.routed import NoPlaceError, StatementRefusedError
+from wharftiller.daemons.sessions.serving.routed import NoCapacityError, StatementRefusedError
 
 if TYPE_CHECKING:
     from collections.abc import Set
@@ -140,9 +140,9 @@
         except EndpointRefusedError as error:
             if error.at_limit and error.queue_s is not None:
                 after_s = queue_retry_after_s(error.queue_s)
-                raise NoPlaceError(str(error), Cause.QUEUE, after_s) from error
+                raise NoCapacityError(str(error), Cause.QUEUE, after_s) from error
             if error.at_limit:
-                raise NoPlaceError(str(error), Cause.ENDPOINT_FULL, SOON_S) from error
+                raise NoCapacityError(str(error), Cause.ENDPOINT_FULL, SOON_S) from error
             raise StatementRefusedError(
                 RefusalKind.NO_CAPACITY, str(error), Cause.ENDPOINT_REFUSED
             ) from error
--- a/wharftiller/daemons/sessions/serving/read_timeouts.py
+++ b/wharftiller/daemons/sessions/serving/read_timeouts.py
@@ -34,7 +34,7 @@
     another_can: Callable[[], bool]
 
 
-class ReadPatience:
+class ReadTimeouts:
     """Watches the reads of one box that wait for an endpoint's answer."""
 
     def __init__(self) -> None:
--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -72,14 +72,14 @@
         return Reply(state, refusal=Refusal(self.kind, detail, self.cause))
 
 
-class NoPlaceError(StatementRefusedError):
+class NoCapacityError(StatementRefusedError):
     """An endpoint has no place for a statement within its goal; nothing was sent."""
 
     def __init__(self, why: str, cause: Cause, after_s: float) -> None:
         super().__init__(RefusalKind.NO_CAPACITY, why, cause, after_s)
 
 
-class NoTokenError(StatementRefusedError):
+class RateLimitedError(StatementRefusedError):
     """The workspace's allowance has no room for an operation; nothing was sent."""
 
     def __init__(self, why: str, cause: Cause, after_s: float) -> None:
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -21,7 +21,7 @@
 from wharftiller.daemons.sessions.serving.answer_log import record_answer, record_forwarded
 from wharftiller.daemons.sessions.serving.autocommit import SingleRunner
 from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
-from wharftiller.daemons.sessions.serving.read_timeouts import ReadPatience
+from wharftiller.daemons.sessions.serving.read_timeouts import ReadTimeouts
 from wharftiller.daemons.sessions.serving.transactions import TransactionRunner
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
         self._state = state
         self._forwarder = forwarder
         chooser = EndpointChooser(state)
-        self.patience = ReadPatience()
+        self.patience = ReadTimeouts()
         self._singles = SingleRunner(state, gate, chooser, self.patience)
         self._transactions = TransactionRunner(state, gate, chooser)
 
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -23,7 +23,7 @@
     BUSY_PAUSE_S,
     BUSY_TRIES,
     READ_TRIES,
-    NoTokenError,
+    RateLimitedError,
     StatementRefusedError,
     route_statement,
 )
@@ -130,7 +130,7 @@
                 except ExchangeError:
                     connection.close()
                     continue
-                except NoTokenError:
+                except RateLimitedError:
                     connection.release()
                     raise
                 except BaseException:
--- a/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
+++ b/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
@@ -14,7 +14,7 @@
 from wharftiller.core.sessions.metrics import SessionMetrics
 from wharftiller.core.sessions.workspaces import Allowance, Workspace
 from wharftiller.daemons.sessions.allowances.rate_limiter import USED_WITHIN_S, RateLimiter
-from wharftiller.daemons.sessions.serving.routed import NoTokenError
+from wharftiller.daemons.sessions.serving.routed import RateLimitedError
 
 RILA = Workspace("rila", Allowance(10.0, 10.0))
 
@@ -71,7 +71,7 @@
         async def story(gate: RateLimiter, desk: Desk) -> None:
             admission = await gate.admit(RILA)
             await trio.sleep(USED_WITHIN_S * 3)
-            with pytest.raises(NoTokenError, match="rila has no token left"):
+            with pytest.raises(RateLimitedError, match="rila has no token left"):
                 await gate.about_to_run(admission)
 
         with_gate(1, story)
@@ -82,10 +82,10 @@
             await trio.sleep(USED_WITHIN_S * 3)
             desk.tokens = 1
             await gate.about_to_run(other)
-            with pytest.raises(NoTokenError):
+            with pytest.raises(RateLimitedError):
                 await gate.about_to_run(late)
             gate.give_back(late)
-            with pytest.raises(NoTokenError):
+            with pytest.raises(RateLimitedError):
                 await gate.admit(RILA)
 
         with_gate(2, story)
