--- a/wharftiller/core/sessions/endpoints.py
+++ b/wharftiller/core/sessions/endpoints.py
@@ -46,7 +46,7 @@
 
     Attributes
     ----------
-    owed : dict of int to float
+    outstanding : dict of int to float
         Send times of the statements not answered yet, by connection number.
     last_contact_at : float
         When it last answered anything, in seconds.
@@ -63,7 +63,7 @@
     """
 
     entry: EndpointEntry
-    owed: dict[int, float] = attrs.field(factory=dict)
+    outstanding: dict[int, float] = attrs.field(factory=dict)
     service_s: float = FIRST_SERVICE_S
     last_contact_at: float = -math.inf
     unreachable_since: float | None = None
@@ -96,7 +96,7 @@
             return True
         return now - self.leaving_since < self.entry.leaving_serves_s - LEAVING_MARGIN_S
 
-    def is_taken_as_gone(self, now: float) -> bool:
+    def is_presumed_removed(self, now: float) -> bool:
         """Return whether it is missing from the list for good."""
         if self.missing_since is None:
             return False
@@ -108,7 +108,7 @@
         if None in (before.started_ms, entry.started_ms) or before.started_ms == entry.started_ms:
             return False
         # What the process before held, told and owed says nothing of this one.
-        self.owed.clear()
+        self.outstanding.clear()
         self.position = self.behind = None
         self.unreachable_since = None
         self.service_s = FIRST_SERVICE_S
@@ -116,7 +116,7 @@
 
     def sent(self, connection: int, now: float) -> None:
         """Note that an answer is owed on ``connection``."""
-        self.owed[connection] = now
+        self.outstanding[connection] = now
 
     def answered(
         self, connection: int, now: float, position: LogPosition | None, *, works: bool = True
@@ -128,7 +128,7 @@
         works : bool
             Whether it answers a caller's statement, so that its time counts.
         """
-        sent_at = self.owed.pop(connection, None)
+        sent_at = self.outstanding.pop(connection, None)
         self.heard(now, position)
         if sent_at is not None and works:
             self.service_s += SERVICE_WEIGHT * (now - sent_at - self.service_s)
@@ -143,7 +143,7 @@
 
     def given_up(self, connection: int, now: float) -> None:
         """Note that an answer owed did not come, or not in time."""
-        sent_at = self.owed.pop(connection, now)
+        sent_at = self.outstanding.pop(connection, now)
         if self.last_contact_at <= sent_at:
             self.failed(sent_at)
 
@@ -159,10 +159,10 @@
 
     def is_silent(self, now: float) -> bool:
         """Return whether an answer is owed for so long that it may be dead."""
-        if not self.owed:
+        if not self.outstanding:
             return False
         limit = max(SILENCE_FLOOR_S, SILENCE_FACTOR * self.service_s)
-        oldest = min(self.owed.values())
+        oldest = min(self.outstanding.values())
         return self.last_contact_at <= oldest and now - oldest > limit
 
     def is_suspect(self, now: float) -> bool:
--- a/wharftiller/core/sessions/statements.py
+++ b/wharftiller/core/sessions/statements.py
@@ -219,7 +219,7 @@
 
 
 @attrs.frozen
-class AskStatus:
+class StatusQuery:
     """Have an endpoint tell its role, term and log position."""
 
 
@@ -230,7 +230,7 @@
     term: int
 
 
-EndpointBody = Body | ResetSession | AskStatus | Demote
+EndpointBody = Body | ResetSession | StatusQuery | Demote
 
 
 @attrs.frozen
--- a/wharftiller/core/sessions/workspaces.py
+++ b/wharftiller/core/sessions/workspaces.py
@@ -117,7 +117,7 @@
 
 
 @attrs.frozen
-class Anyone:
+class Anonymous:
     """The session needs no workspace: the route or the whole deployment asks for no key."""
 
 
@@ -126,7 +126,7 @@
     """No workspace holds the session's key."""
 
 
-Identity = Member | Anyone | UnknownKey
+Identity = Member | Anonymous | UnknownKey
 
 
 def identify(directory: WorkspaceDirectory | None, route: Route, digest: str) -> Identity:
@@ -138,8 +138,8 @@
         None in a deployment without workspaces.
     """
     if directory is None:
-        return Anyone()
+        return Anonymous()
     workspace = directory.of_key(digest)
     if workspace is not None:
         return Member(workspace)
-    return Anyone() if route.needs_no_key else UnknownKey()
+    return Anonymous() if route.needs_no_key else UnknownKey()
--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -86,7 +86,7 @@
     def expire(self, now: float) -> None:
         """Give up the endpoints that have been missing from the list for long enough."""
         for name, row in self.rows.items():
-            if not row.gone and row.is_taken_as_gone(now):
+            if not row.gone and row.is_presumed_removed(now):
                 row.gone = True
                 row.leaving_since = row.leaving_since or row.missing_since or now
                 self._log.change("endpoint_gone", endpoint=name, group=row.entry.group)
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -53,7 +53,7 @@
 
     Attributes
     ----------
-    owed : dict
+    outstanding : dict
         Scope of every statement that it has not answered, with the sending time.
     asked_at : float
         When it was last asked whether it lives, in seconds.
@@ -61,7 +61,7 @@
 
     box: Box
     pool: HttpPool
-    owed: dict[trio.CancelScope, float] = attrs.field(factory=dict)
+    outstanding: dict[trio.CancelScope, float] = attrs.field(factory=dict)
     last_contact_at: float = -math.inf
     asked_at: float = -math.inf
     lost: bool = False
@@ -98,7 +98,7 @@
         """
         link = self._link(gateway)
         body = statement_to_json(message)
-        with self._owed(link, until) as scope:
+        with self._outstanding(link, until) as scope:
             try:
                 answer = await link.pool.post("/peer/run", body)
             except NotSentError:
@@ -136,16 +136,16 @@
         return link
 
     @contextmanager
-    def _owed(self, link: _GatewayLink, until: float) -> Iterator[trio.CancelScope]:
+    def _outstanding(self, link: _GatewayLink, until: float) -> Iterator[trio.CancelScope]:
         """Note that ``link`` owes an answer; cancelled when it is lost or time is out."""
         link.lost = False
         with trio.CancelScope(deadline=until + ANSWER_SLACK_S) as scope:
-            link.owed[scope] = trio.current_time()
+            link.outstanding[scope] = trio.current_time()
             self._answers_owed.set()
             try:
                 yield scope
             finally:
-                del link.owed[scope]
+                del link.outstanding[scope]
 
     async def watch_for_ever(self) -> None:
         """Find homes that owe answers and do not live; what they owe is given up at once."""
@@ -154,12 +154,12 @@
             await trio.sleep(WATCH_S)
             now = trio.current_time()
             for link in list(self._links.values()):
-                oldest = min(link.owed.values(), default=now)
+                oldest = min(link.outstanding.values(), default=now)
                 since = max(oldest, link.last_contact_at, link.asked_at)
                 if now - since > SILENT_S:
                     link.asked_at = now
                     self._nursery.start_soon(self._ask_alive, link)
-            if not any(link.owed for link in self._links.values()):
+            if not any(link.outstanding for link in self._links.values()):
                 self._answers_owed = trio.Event()
 
     async def _ask_alive(self, link: _GatewayLink) -> None:
@@ -168,9 +168,9 @@
 
     def _lose(self, link: _GatewayLink, why: str) -> None:
         self._gateways.avoid(link.box.name)
-        self._state.log.event("home_lost", other=link.box.name, owed=len(link.owed), why=why)
+        self._state.log.event("home_lost", other=link.box.name, owed=len(link.outstanding), why=why)
         link.lost = True
-        for scope in link.owed:
+        for scope in link.outstanding:
             scope.cancel()
 
     async def leave(self, name: str, for_s: float) -> None:
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -32,7 +32,7 @@
     from wharftiller.core.sessions.statements import Statement
     from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, RateLimiter
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
-    from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
+    from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointSelector
     from wharftiller.daemons.sessions.serving.read_timeouts import ReadTimeouts
     from wharftiller.daemons.sessions.serving.routed import RoutedStatement
     from wharftiller.daemons.sessions.state import SharedState
@@ -41,14 +41,14 @@
 """Part of a read's time-out after which a silent endpoint is given up for another that can."""
 
 
-class SingleRunner:
+class AutocommitRunner:
     """Runs the single statements of every session of this box."""
 
     def __init__(
         self,
         state: SharedState,
         gate: RateLimiter,
-        chooser: EndpointChooser,
+        chooser: EndpointSelector,
         patience: ReadTimeouts,
     ) -> None:
         self._state = state
@@ -123,7 +123,7 @@
                 reply = await connection.ask(query)
                 state = reply.state
                 if reply.refusal is None:
-                    self._state.learn_point(row, reply.position, asked_at)
+                    self._state.learn_position(row, reply.position, asked_at)
                     routed.session.wrote(routed.route.group, reply.position)
                     await confirm_write(self._state, routed.session, row)
                 return attrs.evolve(reply, state=SessionState.IDLE)
@@ -210,7 +210,7 @@
                 reply = await connection.ask(routed.query(connection, after))
                 state = reply.state
                 if reply.refusal is None:
-                    self._state.learn_point(row, reply.position, asked_at)
+                    self._state.learn_position(row, reply.position, asked_at)
                 return attrs.evolve(reply, state=SessionState.IDLE)
         except (NoCapacityError, RateLimitedError) as error:
             record_skipped(self._state, row, routed.statement, str(error))
--- a/wharftiller/daemons/sessions/serving/endpoint_selection.py
+++ b/wharftiller/daemons/sessions/serving/endpoint_selection.py
@@ -34,7 +34,7 @@
 """
 
 
-class EndpointChooser:
+class EndpointSelector:
     """Chooses endpoints by what this box believes of them."""
 
     def __init__(self, state: SharedState) -> None:
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -17,10 +17,10 @@
     SetValue,
     refused,
 )
-from wharftiller.core.sessions.workspaces import Anyone, Member, UnknownKey, identify
+from wharftiller.core.sessions.workspaces import Anonymous, Member, UnknownKey, identify
 from wharftiller.daemons.sessions.serving.answer_log import record_answer, record_forwarded
-from wharftiller.daemons.sessions.serving.autocommit import SingleRunner
-from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
+from wharftiller.daemons.sessions.serving.autocommit import AutocommitRunner
+from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointSelector
 from wharftiller.daemons.sessions.serving.read_timeouts import ReadTimeouts
 from wharftiller.daemons.sessions.serving.transactions import TransactionRunner
 
@@ -49,9 +49,9 @@
     ) -> None:
         self._state = state
         self._forwarder = forwarder
-        chooser = EndpointChooser(state)
+        chooser = EndpointSelector(state)
         self.patience = ReadTimeouts()
-        self._singles = SingleRunner(state, gate, chooser, self.patience)
+        self._singles = AutocommitRunner(state, gate, chooser, self.patience)
         self._transactions = TransactionRunner(state, gate, chooser)
 
     async def run(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
@@ -162,7 +162,7 @@
         match identify(self._state.configuration.workspaces, route, session.key_digest):
             case Member(workspace):
                 session.workspace = workspace
-            case Anyone():
+            case Anonymous():
                 session.workspace = None
             case UnknownKey():
                 return False
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -34,7 +34,7 @@
     from wharftiller.core.sessions.statements import Statement
     from wharftiller.daemons.sessions.allowances.rate_limiter import Admission, RateLimiter
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
-    from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointChooser
+    from wharftiller.daemons.sessions.serving.endpoint_selection import EndpointSelector
     from wharftiller.daemons.sessions.serving.routed import RoutedStatement
     from wharftiller.daemons.sessions.state import SharedState
 
@@ -42,7 +42,7 @@
 class TransactionRunner:
     """Runs the statements of transactions of every session of this box."""
 
-    def __init__(self, state: SharedState, gate: RateLimiter, chooser: EndpointChooser) -> None:
+    def __init__(self, state: SharedState, gate: RateLimiter, chooser: EndpointSelector) -> None:
         self._state = state
         self._gate = gate
         self._chooser = chooser
@@ -137,7 +137,7 @@
                     connection.close()
                     raise
                 if reply.refusal is None:
-                    self._state.learn_point(row, reply.position, asked_at)
+                    self._state.learn_position(row, reply.position, asked_at)
                     transaction.connection = connection
                     if not transaction.read_only:
                         transaction.counted = True
@@ -197,7 +197,7 @@
         connection: PooledConnection = transaction.connection
         row = connection.pool.row
         if reply.refusal is None:
-            self._state.learn_point(row, reply.position, asked_at)
+            self._state.learn_position(row, reply.position, asked_at)
         if not isinstance(routed.body, Commit):
             transaction.failed = reply.state is not SessionState.IN_TRANSACTION
             return attrs.evolve(reply, state=session.state)
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -227,7 +227,9 @@
 
     # What answers tell --------------------------------------------------
 
-    def learn_point(self, row: EndpointRow, position: LogPosition | None, asked_at: float) -> None:
+    def learn_position(
+        self, row: EndpointRow, position: LogPosition | None, asked_at: float
+    ) -> None:
         """Note the primary's log position in an answer to what was asked at ``asked_at``."""
         self.metrics.statements[row.name, "done"] += 1
         if position is not None and self.may_acknowledge(row):
--- a/wharftiller/platform/endpoints.py
+++ b/wharftiller/platform/endpoints.py
@@ -7,7 +7,7 @@
 import trio
 
 from wharftiller.core.errors import EndpointRefusedError, ExchangeError
-from wharftiller.core.sessions.statements import AskStatus, EndpointQuery, RefusalKind
+from wharftiller.core.sessions.statements import EndpointQuery, RefusalKind, StatusQuery
 from wharftiller.daemons.sessions.connections.relay import open_through
 from wharftiller.edges.transport import reset_on_close
 from wharftiller.platform.wire import (
@@ -53,7 +53,7 @@
 
     async def status(self) -> EndpointStatus | None:
         """Return the endpoint's state, or None if it is too busy to tell."""
-        (reply,) = await self.ask([EndpointQuery(AskStatus())])
+        (reply,) = await self.ask([EndpointQuery(StatusQuery())])
         return parse_status(reply)
 
     def close(self) -> None:
--- a/wharftiller/platform/wire.py
+++ b/wharftiller/platform/wire.py
@@ -10,7 +10,6 @@
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.sessions.statements import (
     Access,
-    AskStatus,
     Begin,
     Commit,
     Deallocate,
@@ -29,6 +28,7 @@
     SessionState,
     SetValue,
     Statement,
+    StatusQuery,
 )
 
 if TYPE_CHECKING:
@@ -210,7 +210,7 @@
             return f"PREPARE {name} {prepared.access.name} {prepared.shape}"
         case ResetSession():
             return "RESET"
-        case AskStatus():
+        case StatusQuery():
             return "STATUS"
         case Demote(term):
             return f"DEMOTE {term}"
--- a/wharftiller/tests/core/sessions/test_endpoints.py
+++ b/wharftiller/tests/core/sessions/test_endpoints.py
@@ -26,7 +26,7 @@
 class TestStartedAgain:
     def test_nothing_known_of_the_process_before_holds(self, row: EndpointRow) -> None:
         assert row.take_entry(attrs.evolve(ENTRY, started_ms=2_000))
-        assert (row.position, row.behind, row.owed) == (None, None, {})
+        assert (row.position, row.behind, row.outstanding) == (None, None, {})
         assert row.service_s == FIRST_SERVICE_S
 
     @pytest.mark.parametrize("started_ms", [1_000, None])
@@ -35,4 +35,4 @@
     ) -> None:
         assert not row.take_entry(attrs.evolve(ENTRY, leaving=True, started_ms=started_ms))
         assert row.position == LogPosition(3, 7)
-        assert row.owed
+        assert row.outstanding
--- a/wharftiller/tests/core/sessions/test_routing.py
+++ b/wharftiller/tests/core/sessions/test_routing.py
@@ -147,8 +147,8 @@
     def test_a_missing_entry_stands_for_a_while(self) -> None:
         endpoint = row("two")
         endpoint.missing_since = 10.0
-        assert not endpoint.is_taken_as_gone(10.0 + MISSING_GONE_S - 0.1)
-        assert endpoint.is_taken_as_gone(10.0 + MISSING_GONE_S)
+        assert not endpoint.is_presumed_removed(10.0 + MISSING_GONE_S - 0.1)
+        assert endpoint.is_presumed_removed(10.0 + MISSING_GONE_S)
 
     def test_a_leaving_primary_is_used_for_a_bounded_time(self) -> None:
         endpoint = row("one")
--- a/wharftiller/tests/core/sessions/test_workspaces.py
+++ b/wharftiller/tests/core/sessions/test_workspaces.py
@@ -8,7 +8,7 @@
 from wharftiller.core.errors import ConfigurationError
 from wharftiller.core.sessions.routes import PrimaryReads, Route
 from wharftiller.core.sessions.workspaces import (
-    Anyone,
+    Anonymous,
     Member,
     UnknownKey,
     Workspace,
@@ -34,8 +34,8 @@
             (True, False, KEY, Member(RILA)),
             (True, False, "garbage", UnknownKey()),
             (True, True, KEY, Member(RILA)),
-            (True, True, "garbage", Anyone()),
-            (False, False, "garbage", Anyone()),
+            (True, True, "garbage", Anonymous()),
+            (False, False, "garbage", Anonymous()),
         ],
     )
     def test_whose_a_session_is(
--- a/wharftiller/tests/platform/test_wire.py
+++ b/wharftiller/tests/platform/test_wire.py
@@ -12,7 +12,6 @@
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.sessions.statements import (
     Access,
-    AskStatus,
     Begin,
     Commit,
     Direct,
@@ -26,6 +25,7 @@
     SessionState,
     SetValue,
     Statement,
+    StatusQuery,
 )
 from wharftiller.platform.wire import (
     MAX_LINE_BYTES,
@@ -137,7 +137,7 @@
             LogPosition(3, 1209),
             17,
         )
-        assert encode_query(EndpointQuery(AskStatus())) == b"QUERY - STATUS\r\n"
+        assert encode_query(EndpointQuery(StatusQuery())) == b"QUERY - STATUS\r\n"
 
 
 class TestLines:
