--- a/wharftiller/core/lifecycle.py
+++ b/wharftiller/core/lifecycle.py
@@ -9,8 +9,8 @@
 from wharftiller.core.dispatch import close_connection
 from wharftiller.core.messages import Action, EndpointAnswer, Lane, Role, Verdict
 from wharftiller.core.reasons import Reason, ReasonKind
-from wharftiller.core.replication import Check, check_answer, cover_target
-from wharftiller.core.reports import want_cover, want_report
+from wharftiller.core.replication import AnswerCheck, check_answer, replication_target
+from wharftiller.core.reports import request_replication_report, want_report
 from wharftiller.core.routing import choose_line
 from wharftiller.core.tables import Phase
 
@@ -84,13 +84,13 @@
     if row.phase is not Phase.CHECKING or answer is None:
         return
     match check_answer(tables, row, now):
-        case Check.GOOD:
+        case AnswerCheck.GOOD:
             _give_checked(tables, row, answer, now)
-        case Check.WAIT:
+        case AnswerCheck.WAIT:
             _want_reports(tables, row, answer, now)
-        case Check.BEHIND:
+        case AnswerCheck.BEHIND:
             _answer_behind(tables, row, answer, now)
-        case Check.DEPOSED:
+        case AnswerCheck.DEPOSED:
             detail = f"{answer.report.endpoint} no longer leads; its answer is not kept"
             row.note(ReasonKind.ANSWER_UNCOVERED, detail, answer.report.endpoint)
             fate_unknown(tables, row, now)
@@ -110,7 +110,7 @@
     for name in group.servers:
         server = tables.servers[name]
         if row.is_booking and name != asked:
-            want_cover(tables, server, cover_target(answer).index, now)
+            request_replication_report(tables, server, replication_target(answer).index, now)
         elif not row.is_booking and (name != asked or answer.report.role is Role.REPLICA):
             _want_recent(tables, row, name, now)
 
--- a/wharftiller/core/promotion.py
+++ b/wharftiller/core/promotion.py
@@ -16,7 +16,7 @@
     GiveOrder,
     GroupRecord,
     LeadState,
-    Narrate,
+    LogMessage,
     NoticePrimary,
     Order,
     OrderAnswered,
@@ -85,7 +85,7 @@
         text = f"has no primary answer for {silent_s:.1f} s; starting promotion"
     else:
         text = f"changes its primary to {wish.target} as planned"
-    tables.emit(Narrate(group.spec.name, text))
+    tables.emit(LogMessage(group.spec.name, text))
     _go(group, Reading(), now)
     tables.emit(ReadRecord(group.spec.name))
 
@@ -98,7 +98,7 @@
 def abandon(tables: WatchTables, group: WatchedGroup, wait_s: float, now: float, why: str) -> None:
     """Give the attempt up and try again no sooner than ``wait_s`` seconds from now."""
     if not isinstance(group.step, Watching):
-        tables.emit(Narrate(group.spec.name, f"promotion is given up: {why}"))
+        tables.emit(LogMessage(group.spec.name, f"promotion is given up: {why}"))
     if isinstance(group.step, Quiescing | CatchingUp):
         group.orders_out.clear()
         _order(tables, group, group.primary, Order.QUIESCE, level=0)
@@ -180,7 +180,7 @@
             group.version = version
             if group.wish is not None and group.wish.plan:
                 group.done_plans.add(group.wish.plan)
-            tables.emit(Narrate(group.spec.name, f"{chosen} leads term {term}, recorded"))
+            tables.emit(LogMessage(group.spec.name, f"{chosen} leads term {term}, recorded"))
             _go(group, Watching(), now)
             group.next_try_at = now
 
@@ -326,7 +326,7 @@
     if len(others) >= MAJORITY:
         candidates = others
     chosen = max(candidates, key=lambda name: _preference(tables, group, candidates[name]))
-    tables.emit(Narrate(group.spec.name, f"{chosen} is chosen for term {term}"))
+    tables.emit(LogMessage(group.spec.name, f"{chosen} is chosen for term {term}"))
     _go(group, Promoting(term, chosen), now)
     _push_on(tables, group, now)
 
--- a/wharftiller/core/queueing.py
+++ b/wharftiller/core/queueing.py
@@ -105,7 +105,7 @@
 
 
 @attrs.define
-class GroupQueue(Generic[Item]):
+class GroupQueues(Generic[Item]):
     """The lines of one group, and how fast each is served."""
 
     lines: dict[Line, FairQueue[Item]] = attrs.field(
--- a/wharftiller/core/replication.py
+++ b/wharftiller/core/replication.py
@@ -18,7 +18,7 @@
     from wharftiller.core.tables import GroupRow, RequestRow, Tables
 
 
-class Check(enum.Enum):
+class AnswerCheck(enum.Enum):
     """What is known of an answer."""
 
     GOOD = "good"
@@ -27,7 +27,7 @@
     DEPOSED = "deposed"
 
 
-def is_covered(
+def is_replicated(
     tables: Tables, group: GroupRow, by: str, target: LogPosition, since: float = -math.inf
 ) -> bool:
     """Return whether a server other than ``by`` has reported ``target`` as kept.
@@ -42,12 +42,12 @@
         report = server.report
         if name == by or report is None or server.report_sent_at < since:
             continue
-        if covers(report, target):
+        if has_replicated(report, target):
             return True
     return False
 
 
-def covers(report: Report, target: LogPosition) -> bool:
+def has_replicated(report: Report, target: LogPosition) -> bool:
     """Return whether ``report`` proves that a server keeps the log up to ``target``.
 
     Both terms must be the target's own: a server that has promised a later term
@@ -59,7 +59,7 @@
     return report.position >= target.index
 
 
-def cover_target(answer: EndpointAnswer) -> LogPosition:
+def replication_target(answer: EndpointAnswer) -> LogPosition:
     """Return the position that must be covered before a primary's answer is given."""
     report = answer.report
     return safe_position(report.log_term, answer.position, report.opened)
@@ -68,11 +68,11 @@
 def answer_position(answer: EndpointAnswer) -> LogPosition:
     """Return the position that a safe answer lets the session claim."""
     if answer.report.role is Role.PRIMARY:
-        return cover_target(answer)
+        return replication_target(answer)
     return answer.report.log_position
 
 
-def check_answer(tables: Tables, row: RequestRow, now: float) -> Check:
+def check_answer(tables: Tables, row: RequestRow, now: float) -> AnswerCheck:
     """Return whether the answer that ``row`` holds may be given now."""
     answer = row.answer
     assert answer is not None
@@ -81,30 +81,34 @@
     if row.action is not Action.READ:
         return _check_primary_answer(tables, row, group, now)
     if not report.settled:
-        return Check.BEHIND
+        return AnswerCheck.BEHIND
     if report.log_position < row.request.session.position(row.group):
-        return Check.BEHIND
+        return AnswerCheck.BEHIND
     if report.role is Role.PRIMARY:
         return _check_primary_answer(tables, row, group, now)
     return _check_replica_answer(tables, row, group, now)
 
 
-def _check_primary_answer(tables: Tables, row: RequestRow, group: GroupRow, now: float) -> Check:
+def _check_primary_answer(
+    tables: Tables, row: RequestRow, group: GroupRow, now: float
+) -> AnswerCheck:
     answer = row.answer
     assert answer is not None
     since = -math.inf
     if row.action is Action.READ and row.request.transaction is None:
         allowed = row.allowed_age_s
         since = row.arrived_at if allowed is None else now - allowed
-    target = cover_target(answer)
-    if is_covered(tables, group, answer.report.endpoint, target, since):
-        return Check.GOOD
+    target = replication_target(answer)
+    if is_replicated(tables, group, answer.report.endpoint, target, since):
+        return AnswerCheck.GOOD
     if group.term > target.term:
-        return Check.DEPOSED
-    return Check.WAIT
+        return AnswerCheck.DEPOSED
+    return AnswerCheck.WAIT
 
 
-def _check_replica_answer(tables: Tables, row: RequestRow, group: GroupRow, now: float) -> Check:
+def _check_replica_answer(
+    tables: Tables, row: RequestRow, group: GroupRow, now: float
+) -> AnswerCheck:
     answer = row.answer
     allowed = row.allowed_age_s
     assert answer is not None
@@ -112,8 +116,8 @@
     position = answer.report.log_position
     oldest = now - allowed
     if group.fresh.fresh_as_of(position) >= oldest:
-        return Check.GOOD
+        return AnswerCheck.GOOD
     newest = group.fresh.newest
     if newest is not None and newest.at >= oldest:
-        return Check.BEHIND
-    return Check.WAIT
+        return AnswerCheck.BEHIND
+    return AnswerCheck.WAIT
--- a/wharftiller/core/reports.py
+++ b/wharftiller/core/reports.py
@@ -14,7 +14,7 @@
 HEARTBEAT_S = 0.25
 """Longest time between two reports of a server, in seconds."""
 
-COVER_WAIT_MS = 50
+REPLICATION_WAIT_MS = 50
 """How long a server may hold a report back until its log covers a write."""
 
 REPORT_TIMEOUT_S = 0.5
@@ -30,7 +30,7 @@
         _send(tables, server, Lane.NOW, 0, now)
 
 
-def want_cover(tables: Tables, server: ServerRow, index: int, now: float) -> None:
+def request_replication_report(tables: Tables, server: ServerRow, index: int, now: float) -> None:
     """Ask for a report as soon as the server's log has ``index`` records."""
     lane = server.lanes[Lane.COVER]
     if lane.sent_at is None:
@@ -42,7 +42,7 @@
     state.sent_at = now
     server.asked_at = now
     state.wanted_since = None
-    wait_ms = COVER_WAIT_MS if lane is Lane.COVER else 0
+    wait_ms = REPLICATION_WAIT_MS if lane is Lane.COVER else 0
     tables.emit(SendReport(server.name, server.control_address, lane, index, wait_ms))
 
 
--- a/wharftiller/core/steward_messages.py
+++ b/wharftiller/core/steward_messages.py
@@ -202,11 +202,11 @@
 
 
 @attrs.frozen
-class Narrate:
+class LogMessage:
     """Log a step, for people."""
 
     group: str
     text: str
 
 
-StewardOutput = AskReport | ReadRecord | UpdateRecord | GiveOrder | NoticePrimary | Narrate
+StewardOutput = AskReport | ReadRecord | UpdateRecord | GiveOrder | NoticePrimary | LogMessage
--- a/wharftiller/core/tables.py
+++ b/wharftiller/core/tables.py
@@ -21,7 +21,7 @@
     Request,
 )
 from wharftiller.core.positions import LogPosition
-from wharftiller.core.queueing import GroupQueue
+from wharftiller.core.queueing import GroupQueues
 from wharftiller.core.reasons import Decision, Reason, ReasonKind
 
 DECISIONS_KEPT = 4096
@@ -115,7 +115,7 @@
     """
 
     spec: GroupSpec
-    queue: GroupQueue[int] = attrs.field(factory=GroupQueue)
+    queue: GroupQueues[int] = attrs.field(factory=GroupQueues)
     term: int = 0
     primary: str | None = None
     hold_until: float = 0.0
--- a/wharftiller/daemons/configuration_distributor.py
+++ b/wharftiller/daemons/configuration_distributor.py
@@ -16,8 +16,8 @@
 from wharftiller.edges.configuration_store import HEAD_KEY, ConfigurationStore
 from wharftiller.edges.http_server import HttpRequest, HttpResponse
 from wharftiller.edges.peers import (
-    ConfigurationQuestion,
     ConfigurationReply,
+    ConfigurationRequest,
     PeerClient,
     check_peer,
     reply,
@@ -40,7 +40,7 @@
     return f"status/{data_centre}/{box}"
 
 
-class Spreader:
+class ConfigurationDistributor:
     """Follows the newest configuration and passes it on.
 
     Parameters
@@ -171,7 +171,7 @@
         if address not in self._clients:
             self._clients[address] = PeerClient(self._transport, address, self._settings.keys)
         box = self._settings.box.name
-        question = ConfigurationQuestion(box, self.generation, wait_ms, dict(self._in_force))
+        question = ConfigurationRequest(box, self.generation, wait_ms, dict(self._in_force))
         try:
             answer = await self._clients[address].ask_configuration(question)
         except ExchangeError:
@@ -226,7 +226,7 @@
             If it is none of our processes.
         """
         check_peer(request, self._settings.keys)
-        question = from_caller(request.json(), ConfigurationQuestion)
+        question = from_caller(request.json(), ConfigurationRequest)
         self._in_force.update(question.in_force)
         boxes = self._boxes
         with trio.move_on_after(min(question.wait_ms, MOST_WAIT_MS) / 1000):
--- a/wharftiller/daemons/proxy.py
+++ b/wharftiller/daemons/proxy.py
@@ -34,7 +34,7 @@
 from wharftiller.edges.endpoints import ReportLanes, StatementConnections
 from wharftiller.edges.http_server import HttpRequest, HttpResponse, serve_stream
 from wharftiller.edges.peers import (
-    ConfigurationQuestion,
+    ConfigurationRequest,
     PeerClient,
     PrimaryNotice,
     check_peer,
@@ -214,7 +214,7 @@
     async def _follow_once(self, client: PeerClient) -> bool:
         box = self._settings.box.name
         generation = self._holder.current.generation
-        question = ConfigurationQuestion(box, generation, FOLLOW_WAIT_MS, {box: generation})
+        question = ConfigurationRequest(box, generation, FOLLOW_WAIT_MS, {box: generation})
         try:
             reply = await client.ask_configuration(question)
         except ExchangeError:
--- a/wharftiller/daemons/steward.py
+++ b/wharftiller/daemons/steward.py
@@ -19,7 +19,7 @@
     GiveOrder,
     GroupRecord,
     LeadState,
-    Narrate,
+    LogMessage,
     NoticePrimary,
     OrderAnswered,
     OrderLost,
@@ -34,7 +34,7 @@
     StewardOutput,
     UpdateRecord,
 )
-from wharftiller.daemons.configuration_distributor import Spreader
+from wharftiller.daemons.configuration_distributor import ConfigurationDistributor
 from wharftiller.edges.codec import from_peer, to_json
 from wharftiller.edges.http_client import HttpClient
 from wharftiller.edges.http_server import HttpRequest, HttpResponse, serve_stream
@@ -91,7 +91,9 @@
         process = f"{settings.box.name}/{secrets.token_hex(6)}"
         self._core = StewardCore(settings.box.name, randomness, settings.steward.detect_s, process)
         self._platform = PlatformClient(transport, settings.platform.address)
-        self._spreader = Spreader(settings, transport, randomness, self._configured, self._listed)
+        self._spreader = ConfigurationDistributor(
+            settings, transport, randomness, self._configured, self._listed
+        )
         self._controls: dict[str, HttpClient] = {}
         self._orders: dict[str, HttpClient] = {}
         self._proxies: dict[str, PeerClient] = {}
@@ -151,7 +153,7 @@
                 self._nursery.start_soon(self._give_order, output)
             case NoticePrimary():
                 self._notice(output)
-            case Narrate(group, text):
+            case LogMessage(group, text):
                 self._log.info(f"group {group} {text}", fields={"group": group})
             case _:
                 assert_never(output)
--- a/wharftiller/edges/peers.py
+++ b/wharftiller/edges/peers.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class ConfigurationQuestion:
+class ConfigurationRequest:
     """What a proxy or steward asks a steward.
 
     Attributes
@@ -89,7 +89,7 @@
         self._client = HttpClient(transport, address)
         self._headers = bearer_header(keys.mint(PEER, PEER))
 
-    async def ask_configuration(self, question: ConfigurationQuestion) -> ConfigurationReply:
+    async def ask_configuration(self, question: ConfigurationRequest) -> ConfigurationReply:
         """Ask a steward for what is newer than ``question.generation``.
 
         Raises
--- a/wharftiller/tests/core/test_acknowledgement.py
+++ b/wharftiller/tests/core/test_acknowledgement.py
@@ -11,7 +11,7 @@
 
 from wharftiller.core.messages import Report
 from wharftiller.core.positions import LogPosition
-from wharftiller.core.replication import covers
+from wharftiller.core.replication import has_replicated
 from wharftiller.tests.fakes.histories import (
     History,
     Op,
@@ -36,7 +36,7 @@
 WEAKER: dict[str, tuple[Rule, int]] = {
     "log_term_alone": (log_term_alone, 2),
     "promised_term_alone": (promised_term_alone, 2),
-    "fence_of_one": (covers, 1),
+    "fence_of_one": (has_replicated, 1),
 }
 
 
@@ -45,7 +45,7 @@
         "path", sorted(TRACES.glob("*.history.jsonl")), ids=lambda path: path.name
     )
     def test_recorded_history_loses_nothing(self, path: Path) -> None:
-        history = History(covers).run(read_steps(path))
+        history = History(has_replicated).run(read_steps(path))
         assert history.lost == []
 
     @pytest.mark.parametrize("name", sorted(WEAKER))
@@ -57,7 +57,7 @@
     def test_random_histories_lose_nothing(self) -> None:
         acknowledged = 0
         for seed in range(RANDOM_HISTORIES):
-            history = History(covers).run(random_steps(random.Random(seed), 80))
+            history = History(has_replicated).run(random_steps(random.Random(seed), 80))
             assert history.lost == [], f"seed {seed}"
             acknowledged += len(history.acknowledged)
         assert acknowledged > RANDOM_HISTORIES / 10
@@ -65,7 +65,7 @@
     @given(st.lists(st.builds(Step, st.sampled_from(Op), st.integers(0, 999)), max_size=60))
     @settings(derandomize=True, max_examples=400, deadline=None, database=None)
     def test_any_history_loses_nothing(self, steps: list[Step]) -> None:
-        assert History(covers).run(steps).lost == []
+        assert History(has_replicated).run(steps).lost == []
 
 
 class TestCovers:
@@ -83,4 +83,4 @@
         self, promised: int, log_term: int, position: int, expected: bool
     ) -> None:
         report = Report("b", promised, log_term, position)
-        assert covers(report, LogPosition(3, 7)) is expected
+        assert has_replicated(report, LogPosition(3, 7)) is expected
--- a/wharftiller/tests/core/test_queueing.py
+++ b/wharftiller/tests/core/test_queueing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wharftiller.core.queueing import FairQueue, GroupQueue, Line
+from wharftiller.core.queueing import FairQueue, GroupQueues, Line
 
 
 class TestFairQueue:
@@ -33,14 +33,14 @@
 
 class TestGroupQueue:
     def test_one_business_does_not_make_another_wait_for_all_of_its_requests(self) -> None:
-        queue: GroupQueue[int] = GroupQueue()
+        queue: GroupQueues[int] = GroupQueues()
         for item in range(50):
             queue.lines[Line.REPLICA_LOOKUP].push("flood", item)
         assert queue.ahead(Line.REPLICA_LOOKUP, "quiet") == 1
         assert queue.ahead(Line.REPLICA_LOOKUP, "flood") == 50
 
     def test_lookups_to_the_primary_wait_for_bookings(self) -> None:
-        queue: GroupQueue[int] = GroupQueue()
+        queue: GroupQueues[int] = GroupQueues()
         for item in range(5):
             queue.lines[Line.BOOKING].push("a", item)
         assert queue.ahead(Line.PRIMARY_LOOKUP, "b") == 5
