--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -26,7 +26,7 @@
 """Time between looks, in seconds."""
 
 
-class Story:
+class Demo:
     """The deployment as a caller and an operator see it."""
 
     def __init__(self, folder: Path) -> None:
@@ -272,20 +272,20 @@
 
 async def tell(folder: Path, only_pool: bool) -> int:
     """Tell the story; return the exit status."""
-    story = Story(folder)
-    await story.ready()
-    await story.list_boxes()
-    story.tell("An operator creates a pool: intent, plan, confirm.")
-    await story.create_pool()
-    await story.in_force()
+    demo = Demo(folder)
+    await demo.ready()
+    await demo.list_boxes()
+    demo.tell("An operator creates a pool: intent, plan, confirm.")
+    await demo.create_pool()
+    await demo.in_force()
     if not only_pool:
-        session = await story.guide_roams()
-        await story.lookup()
-        await story.lose_primary(session)
-        await story.ask_twice()
-        await story.refused()
-    if story.failed:
-        print(f"\n{len(story.failed)} checks failed: {story.failed}")
+        session = await demo.guide_roams()
+        await demo.lookup()
+        await demo.lose_primary(session)
+        await demo.ask_twice()
+        await demo.refused()
+    if demo.failed:
+        print(f"\n{len(demo.failed)} checks failed: {demo.failed}")
         return 1
     print("\nEvery check held.")
     return 0
--- a/wharftiller/cli/wharfctl.py
+++ b/wharftiller/cli/wharfctl.py
@@ -20,7 +20,7 @@
 from wharftiller.core.errors import BadRequestError
 from wharftiller.core.sessions.workspaces import digest_of_key, fingerprint
 from wharftiller.keys import KeyRing
-from wharftiller.request_timeline import LoggedEvent, read_events, story_of
+from wharftiller.request_timeline import LoggedEvent, read_events, timeline_of
 from wharftiller.run_report import report_of
 from wharftiller.settings import SettingsErrorGroup, load_settings
 from wharftiller.traces import read_trace
@@ -290,15 +290,15 @@
 ) -> None:
     """Print a request's story from decision logs, with what its boxes believed meanwhile."""
     events = _events_of(files)
-    story = story_of(request_id, events)
-    if not story:
+    timeline = timeline_of(request_id, events)
+    if not timeline:
         typer.echo(
             f"no line tells of {request_id} among {len(events)} events; ordinary answers are "
             "sampled, all others are logged up to a rate: look at the metrics of that moment",
             err=True,
         )
         raise typer.Exit(REFUSED)
-    for event in story:
+    for event in timeline:
         mark = ">" if event.fields.get("request") == request_id else " "
         typer.echo(f"{mark} {event.sentence()}")
 
--- a/wharftiller/request_timeline.py
+++ b/wharftiller/request_timeline.py
@@ -65,7 +65,7 @@
         yield LoggedEvent(at, str(box), str(event), fields)
 
 
-def story_of(request_id: str, events: Iterable[LoggedEvent]) -> list[LoggedEvent]:
+def timeline_of(request_id: str, events: Iterable[LoggedEvent]) -> list[LoggedEvent]:
     """Return the request's events and what its boxes came to believe around them, in order."""
     ordered = sorted(events, key=lambda each: each.at)
     own = [each for each in ordered if each.fields.get("request") == request_id]
--- a/wharftiller/tests/daemons/test_demo.py
+++ b/wharftiller/tests/daemons/test_demo.py
@@ -11,14 +11,14 @@
 
 sys.path.insert(0, str(Path(__file__).parents[3] / "scripts"))
 
-from demo import Story  # type: ignore[import-not-found]
+from demo import Demo  # type: ignore[import-not-found]
 
 
 class TestPrimaryOf:
     def test_a_promotion_under_way_is_waited_for(self) -> None:
         told = iter(["", "", "seats-b"])
 
-        class Told(Story):  # type: ignore[misc]
+        class Told(Demo):  # type: ignore[misc]
             def __init__(self) -> None:
                 pass
 
--- a/wharftiller/tests/daemons/test_real_processes.py
+++ b/wharftiller/tests/daemons/test_real_processes.py
@@ -21,7 +21,7 @@
 ROOT = Path(__file__).parents[3]
 sys.path.insert(0, str(ROOT / "scripts"))
 
-from demo import KEYS, POOL, Story  # type: ignore[import-not-found]  # noqa: E402
+from demo import KEYS, POOL, Demo  # type: ignore[import-not-found]  # noqa: E402
 
 DONE_WITHIN_S = 90.0
 """Time within which a booking is done on a machine of any load, in seconds."""
@@ -70,27 +70,27 @@
     running.end()
 
 
-def run(processes: Processes, scenario: Callable[[Story], Awaitable[None]]) -> None:
+def run(processes: Processes, scenario: Callable[[Demo], Awaitable[None]]) -> None:
     async def main() -> None:
-        story = Story(processes.folder)
-        await story.ready()
-        await story.list_boxes()
-        await story.create_pool()
-        await story.in_force()
-        await scenario(story)
+        demo = Demo(processes.folder)
+        await demo.ready()
+        await demo.list_boxes()
+        await demo.create_pool()
+        await demo.in_force()
+        await scenario(demo)
 
     trio.run(main)
 
 
-async def book(story: Story, box: str, name: str, **fields: Any) -> dict[str, Any]:
+async def book(demo: Demo, box: str, name: str, **fields: Any) -> dict[str, Any]:
     statement = {"append": "tour", "value": name}
-    answer: dict[str, Any] = await story.ask(
+    answer: dict[str, Any] = await demo.ask(
         box, "rila-tours", request_id=name, kind="write", statement=statement, **fields
     )
     return answer
 
 
-async def book_until_done(story: Story, box: str, name: str, **fields: Any) -> dict[str, Any]:
+async def book_until_done(demo: Demo, box: str, name: str, **fields: Any) -> dict[str, Any]:
     """Book until it is known to be done, as a careful caller does.
 
     A loaded machine can delay any process for long enough that a booking is refused, or its
@@ -101,7 +101,7 @@
     with trio.fail_after(DONE_WITHIN_S):
         while True:
             statement = {"append": "tour", "value": name}
-            answer: dict[str, Any] = await story.ask(
+            answer: dict[str, Any] = await demo.ask(
                 box,
                 "rila-tours",
                 request_id=f"{name}-{attempt}",
@@ -115,10 +115,10 @@
             await trio.sleep(LOOK_AGAIN_S)
 
 
-async def tourists(story: Story, box: str, session: str) -> Any:
+async def tourists(demo: Demo, box: str, session: str) -> Any:
     with trio.fail_after(DONE_WITHIN_S):
         while True:
-            answer = await story.ask(
+            answer = await demo.ask(
                 box,
                 "rila-tours",
                 request_id=f"list-{trio.current_time()}",
@@ -134,24 +134,24 @@
 
 class TestRealProcesses:
     def test_killed_primary_loses_nothing(self, processes: Processes) -> None:
-        async def scenario(story: Story) -> None:
-            await book_until_done(story, "box-1", "Ivan")
-            processes.signal(await story.primary_of("sofia-1"), signal.SIGKILL)
-            booked = await book_until_done(story, "box-2", "Ana", repeatable=True)
-            assert await tourists(story, "box-1", booked["session"]) == ["Ivan", "Ana"]
+        async def scenario(demo: Demo) -> None:
+            await book_until_done(demo, "box-1", "Ivan")
+            processes.signal(await demo.primary_of("sofia-1"), signal.SIGKILL)
+            booked = await book_until_done(demo, "box-2", "Ana", repeatable=True)
+            assert await tourists(demo, "box-1", booked["session"]) == ["Ivan", "Ana"]
 
         run(processes, scenario)
 
     def test_a_booking_refused_during_a_freeze_is_not_kept(self, processes: Processes) -> None:
         """What was refused as not run is missing, what was booked again is there once."""
 
-        async def scenario(story: Story) -> None:
-            frozen = await story.primary_of("sofia-1")
+        async def scenario(demo: Demo) -> None:
+            frozen = await demo.primary_of("sofia-1")
             processes.signal(frozen, signal.SIGSTOP)
-            first = await book(story, "box-1", "Ivan", deadline_ms=300)
+            first = await book(demo, "box-1", "Ivan", deadline_ms=300)
             processes.signal(frozen, signal.SIGCONT)
-            again = await book_until_done(story, "box-1", "Ana", repeatable=True)
-            listed = await tourists(story, "box-2", again["session"])
+            again = await book_until_done(demo, "box-1", "Ana", repeatable=True)
+            listed = await tourists(demo, "box-2", again["session"])
             assert listed.count("Ana") == 1
             match first["outcome"]:
                 case "not_run":
@@ -166,24 +166,24 @@
     def test_frozen_primary_and_steward_harm_nothing_when_they_wake(
         self, processes: Processes
     ) -> None:
-        async def scenario(story: Story) -> None:
-            await book_until_done(story, "box-1", "Ivan")
-            old = await story.primary_of("sofia-1")
+        async def scenario(demo: Demo) -> None:
+            await book_until_done(demo, "box-1", "Ivan")
+            old = await demo.primary_of("sofia-1")
             processes.signal("box-1-steward", signal.SIGSTOP)
             processes.signal(old, signal.SIGSTOP)
-            booked = await book_until_done(story, "box-1", "Ana", repeatable=True)
+            booked = await book_until_done(demo, "box-1", "Ana", repeatable=True)
             processes.signal(old, signal.SIGCONT)
             processes.signal("box-1-steward", signal.SIGCONT)
             await trio.sleep(1)
-            later = await book_until_done(story, "box-2", "Vera", session=booked["session"])
-            assert await tourists(story, "box-1", later["session"]) == ["Ivan", "Ana", "Vera"]
+            later = await book_until_done(demo, "box-2", "Vera", session=booked["session"])
+            assert await tourists(demo, "box-1", later["session"]) == ["Ivan", "Ana", "Vera"]
 
         run(processes, scenario)
 
     def test_stopped_proxy_answers_what_it_accepted(self, processes: Processes) -> None:
-        async def scenario(story: Story) -> None:
+        async def scenario(demo: Demo) -> None:
             answers: list[dict[str, Any]] = []
-            address = story.layout["boxes"]["box-1"]["proxy"]
+            address = demo.layout["boxes"]["box-1"]["proxy"]
             clients = [HttpClient(TcpTransport(), address) for _ in range(21)]
             for client in clients:
                 # Answered, so the process itself has taken this connection.
--- a/wharftiller/tests/test_request_timeline.py
+++ b/wharftiller/tests/test_request_timeline.py
@@ -8,7 +8,7 @@
 from typer.testing import CliRunner
 
 from wharftiller.cli.wharfctl import app
-from wharftiller.request_timeline import read_events, story_of
+from wharftiller.request_timeline import read_events, timeline_of
 from wharftiller.tests.platform.world import World, run_in_world
 
 
@@ -29,11 +29,11 @@
 
 class TestStory:
     def test_it_holds_the_request_and_what_its_box_believed_around_it(self) -> None:
-        story = story_of("r-1", read_events(LINES))
+        story = timeline_of("r-1", read_events(LINES))
         assert [event.event for event in story] == ["endpoint_silent", "refused", "record_adopted"]
 
     def test_an_unknown_request_has_none(self) -> None:
-        assert story_of("r-9", read_events(LINES)) == []
+        assert timeline_of("r-9", read_events(LINES)) == []
 
     def test_the_command_prints_it_in_order(self, tmp_path: Path) -> None:
         path = tmp_path / "box.log"
@@ -58,7 +58,7 @@
             lines = bytes(world.boxes["box-1"].lines).decode().splitlines()
             world.boxes["box-1"].log()
             lines = bytes(world.boxes["box-1"].lines).decode().splitlines()
-            told = story_of("r-lost", read_events(lines))
+            told = timeline_of("r-lost", read_events(lines))
             assert any(event.fields.get("request") == "r-lost" for event in told)
 
         run_in_world(story)
