--- a/wharftiller/daemons/admin.py
+++ b/wharftiller/daemons/admin.py
@@ -34,7 +34,7 @@
 from wharftiller.edges.platform import ConflictError, PlatformClient, StoredObject
 from wharftiller.edges.transport import Transport
 from wharftiller.keys import bearer
-from wharftiller.logs import part_log
+from wharftiller.logs import component_log
 from wharftiller.settings import Settings
 
 CONFIRM_TRIES = 2
@@ -94,7 +94,7 @@
         self._settings = settings
         self._transport = transport
         self._wall_clock = wall_clock
-        self._log = part_log("admin", settings.box.name)
+        self._log = component_log("admin", settings.box.name)
         self._platform = PlatformClient(transport, settings.platform.address)
         self._store = ConfigurationStore(self._platform)
 
--- a/wharftiller/daemons/configuration_distributor.py
+++ b/wharftiller/daemons/configuration_distributor.py
@@ -24,7 +24,7 @@
 )
 from wharftiller.edges.platform import BoxEntry, ConflictError, PlatformClient
 from wharftiller.edges.transport import Transport
-from wharftiller.logs import part_log
+from wharftiller.logs import component_log
 from wharftiller.settings import Settings
 
 WATCH_S = 5.0
@@ -62,7 +62,7 @@
         self._random = randomness
         self._on_configured = configured
         self._on_listed = listed
-        self._log = part_log("steward", settings.box.name)
+        self._log = component_log("steward", settings.box.name)
         self.counters: Counter[str] = Counter()
         address = settings.platform.address
         self._platform = PlatformClient(transport, address, self._count)
--- a/wharftiller/daemons/proxy.py
+++ b/wharftiller/daemons/proxy.py
@@ -41,7 +41,7 @@
 )
 from wharftiller.edges.transport import Transport
 from wharftiller.keys import bearer
-from wharftiller.logs import part_log
+from wharftiller.logs import component_log
 from wharftiller.metrics import Metrics
 from wharftiller.settings import Settings
 from wharftiller.traces import TraceHeader, TraceRecorder
@@ -85,7 +85,7 @@
     ) -> None:
         self._settings = settings
         self._transport = transport
-        self._log = part_log("proxy", settings.box.name)
+        self._log = component_log("proxy", settings.box.name)
         self._metrics = Metrics(settings.metrics.statsd, "proxy")
         lag = settings.platform.list_lag_s
         seed = random.SystemRandom().getrandbits(32) if seed is None else seed
--- a/wharftiller/daemons/steward.py
+++ b/wharftiller/daemons/steward.py
@@ -41,7 +41,7 @@
 from wharftiller.edges.peers import PeerClient, PrimaryNotice
 from wharftiller.edges.platform import ConflictError, PlatformClient, new_attempt
 from wharftiller.edges.transport import Transport
-from wharftiller.logs import part_log
+from wharftiller.logs import component_log
 from wharftiller.metrics import Metrics
 from wharftiller.settings import Settings
 
@@ -85,7 +85,7 @@
         self._settings = settings
         self._transport = transport
         self._wall_clock = wall_clock
-        self._log = part_log("steward", settings.box.name)
+        self._log = component_log("steward", settings.box.name)
         self._metrics = Metrics(settings.metrics.statsd, "steward")
         randomness = random.Random(seed)
         process = f"{settings.box.name}/{secrets.token_hex(6)}"
--- a/wharftiller/logs.py
+++ b/wharftiller/logs.py
@@ -9,7 +9,7 @@
 from pythonjsonlogger.json import JsonFormatter
 
 
-class PartLog(logging.LoggerAdapter[logging.Logger]):
+class ComponentLog(logging.LoggerAdapter[logging.Logger]):
     """Logs for one part; keyword ``fields`` become fields of the line."""
 
     def process(self, msg: Any, kwargs: Any) -> tuple[Any, Any]:
@@ -19,9 +19,9 @@
         return f"{(self.extra or {})['part']}: {msg}", kwargs
 
 
-def part_log(part: str, box: str) -> PartLog:
+def component_log(part: str, box: str) -> ComponentLog:
     """Return the log of a part (``proxy``, ``steward``, ``admin``) on a box."""
-    return PartLog(logging.getLogger(f"wharftiller.{part}"), {"part": part, "box": box})
+    return ComponentLog(logging.getLogger(f"wharftiller.{part}"), {"part": part, "box": box})
 
 
 def set_up_logs(level: str) -> None:
