--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -25,8 +25,8 @@
         for name in only or EXPERIMENTS:
             experiment = EXPERIMENTS[name]
             results = [experiment(DEPLOYMENTS[place], seed) for seed in range(1, runs + 1)]
-            for figure in merged(results):
-                typer.echo(f"{place}: {figure.line()}")
+            for measurement in merged(results):
+                typer.echo(f"{place}: {measurement.line()}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -16,11 +16,11 @@
 import trio
 
 from benchmarks.load import Load
-from benchmarks.measurements import Figure, percentile
+from benchmarks.measurements import Measurement, percentile
 from benchmarks.model import BUSINESSES, Deployment, Mix
 from wharftiller.tests.fakes.world import Size, World, run_world
 
-Experiment = Callable[[Deployment, int], list[Figure]]
+Experiment = Callable[[Deployment, int], list[Measurement]]
 
 STEADY_S = 10.0
 FAULT_AT_S = 2.0
@@ -53,9 +53,9 @@
     return total
 
 
-def replica_share(deployment: Deployment, seed: int, **changes: Any) -> list[Figure]:
+def replica_share(deployment: Deployment, seed: int, **changes: Any) -> list[Measurement]:
     """Return the share of reads that replicas served, and what reads and bookings took."""
-    figures: list[Figure] = []
+    measurements: list[Measurement] = []
 
     async def scenario(world: World) -> None:
         load = _load(world, deployment.mix, seed)
@@ -65,31 +65,33 @@
         allowed = counters["reads.allowed_replica"]
         allowed_all = allowed + counters["reads.allowed_primary"]
         undone = sum(1 for sample in load.samples if sample.outcome != "done")
-        figures.extend(
+        measurements.extend(
             [
-                Figure("replica share of all reads", "%", (100 * replica / (replica + primary),)),
-                Figure(
+                Measurement(
+                    "replica share of all reads", "%", (100 * replica / (replica + primary),)
+                ),
+                Measurement(
                     "replica share of reads whose age and token allow it",
                     "%",
                     (100 * allowed / allowed_all,),
                     "99",
                 ),
-                Figure("lookup p50", "ms", (percentile(load.times("read"), 0.5),)),
-                Figure("lookup p99", "ms", (percentile(load.times("read"), 0.99),)),
-                Figure("latest lookup p99", "ms", (percentile(load.times("latest"), 0.99),)),
-                Figure("booking p50", "ms", (percentile(load.times("write"), 0.5),)),
-                Figure("booking p99", "ms", (percentile(load.times("write"), 0.99),)),
-                Figure("requests not done", "%", (100 * undone / len(load.samples),)),
+                Measurement("lookup p50", "ms", (percentile(load.times("read"), 0.5),)),
+                Measurement("lookup p99", "ms", (percentile(load.times("read"), 0.99),)),
+                Measurement("latest lookup p99", "ms", (percentile(load.times("latest"), 0.99),)),
+                Measurement("booking p50", "ms", (percentile(load.times("write"), 0.5),)),
+                Measurement("booking p99", "ms", (percentile(load.times("write"), 0.99),)),
+                Measurement("requests not done", "%", (100 * undone / len(load.samples),)),
             ]
         )
 
     _run(deployment, seed, scenario, **changes)
-    return figures
+    return measurements
 
 
-def failover_gap(deployment: Deployment, seed: int) -> list[Figure]:
+def failover_gap(deployment: Deployment, seed: int) -> list[Measurement]:
     """Return the gap between acknowledged bookings for each way to lose a primary."""
-    figures = []
+    measurements = []
     for fault, aim in (
         ("killed", "median < 2, worst < 4"),
         ("cut off", "median < 2, worst < 4"),
@@ -97,8 +99,8 @@
         ("planned", "< 0.1"),
     ):
         gap = _gap(deployment, seed, fault)
-        figures.append(Figure(f"failover gap, {fault}", "s", (gap,), aim))
-    return figures
+        measurements.append(Measurement(f"failover gap, {fault}", "s", (gap,), aim))
+    return measurements
 
 
 def _gap(deployment: Deployment, seed: int, fault: str) -> float:
@@ -141,9 +143,9 @@
             await world.intend({"kind": "change_primary", "group": "group-1", "endpoint": endpoint})
 
 
-def overload(deployment: Deployment, seed: int) -> list[Figure]:
+def overload(deployment: Deployment, seed: int) -> list[Measurement]:
     """Return how fast refusals come at three times what the servers can do."""
-    figures: list[Figure] = []
+    measurements: list[Measurement] = []
 
     async def scenario(world: World) -> None:
         per_server = SLOTS * 1000 / world.size.service_ms
@@ -160,26 +162,26 @@
         done = sum(1 for sample in load.samples if sample.outcome == "done")
         unknown = sum(1 for sample in load.samples if sample.outcome == "unknown")
         client_ms = 2 * world.size.client_s * 1000
-        figures.extend(
+        measurements.extend(
             [
-                Figure(
+                Measurement(
                     "overload: refusal p50 beyond the network",
                     "ms",
                     (percentile(refused, 0.5) - client_ms,),
                 ),
-                Figure(
+                Measurement(
                     "overload: refusal p99 beyond the network",
                     "ms",
                     (percentile(refused, 0.99) - client_ms,),
                 ),
-                Figure("overload: refused", "%", (100 * len(refused) / len(load.samples),)),
-                Figure(
+                Measurement("overload: refused", "%", (100 * len(refused) / len(load.samples),)),
+                Measurement(
                     "overload: refused only at the deadline",
                     "%",
                     (100 * len(late) / len(load.samples),),
                 ),
-                Figure("overload: unknown", "%", (100 * unknown / len(load.samples),)),
-                Figure(
+                Measurement("overload: unknown", "%", (100 * unknown / len(load.samples),)),
+                Measurement(
                     "overload: done, of what the servers can do",
                     "%",
                     (100 * done / 3.0 / capacity,),
@@ -188,24 +190,24 @@
         )
 
     _run(deployment, seed, scenario, service_ms=OVERLOAD_SERVICE_MS)
-    return figures
+    return measurements
 
 
-def flood(deployment: Deployment, seed: int) -> list[Figure]:
+def flood(deployment: Deployment, seed: int) -> list[Measurement]:
     """Return bookings' p99 with and without one business flooding lookups."""
     alone = _booking_times(deployment, seed, 0)
     flooded = _booking_times(deployment, seed, 3_000)
     latest = _booking_times(deployment, seed, 1_500, latest_share=1.0)
     return [
-        Figure("booking p99 without a flood", "ms", (percentile(alone, 0.99),)),
-        Figure("booking p99 in a flood of lookups", "ms", (percentile(flooded, 0.99),)),
-        Figure(
+        Measurement("booking p99 without a flood", "ms", (percentile(alone, 0.99),)),
+        Measurement("booking p99 in a flood of lookups", "ms", (percentile(flooded, 0.99),)),
+        Measurement(
             "booking p99 ratio, flood of lookups",
             "x",
             (percentile(flooded, 0.99) / percentile(alone, 0.99),),
             "< 1.5",
         ),
-        Figure(
+        Measurement(
             "booking p99 ratio, flood of latest lookups",
             "x",
             (percentile(latest, 0.99) / percentile(alone, 0.99),),
@@ -234,7 +236,7 @@
     return times
 
 
-def spreading(deployment: Deployment, seed: int) -> list[Figure]:
+def spreading(deployment: Deployment, seed: int) -> list[Measurement]:
     """Return the time from a confirmed plan until its generation is in force on every box."""
     values: list[float] = []
 
@@ -259,18 +261,18 @@
         values.append((trio.current_time() - started) * 1000)
 
     _run(deployment, seed, scenario)
-    return [Figure("confirm until in force on every box", "ms", tuple(values), "< 4000")]
+    return [Measurement("confirm until in force on every box", "ms", tuple(values), "< 4000")]
 
 
-def replica_wait(deployment: Deployment, seed: int) -> list[Figure]:
+def replica_wait(deployment: Deployment, seed: int) -> list[Measurement]:
     """Compare going to the primary at once with waiting for a replica, on the same load."""
-    figures = []
+    measurements = []
     for wait_ms in (0, 5, 20, 50):
-        for figure in replica_share(deployment, seed, replica_wait_ms=wait_ms, lag_ms=15.0):
-            if figure.name.startswith(("replica share of reads", "lookup p99", "booking p99")):
-                name = f"replica wait {wait_ms} ms: {figure.name}"
-                figures.append(attrs.evolve(figure, name=name, aim=""))
-    return figures
+        for measurement in replica_share(deployment, seed, replica_wait_ms=wait_ms, lag_ms=15.0):
+            if measurement.name.startswith(("replica share of reads", "lookup p99", "booking p99")):
+                name = f"replica wait {wait_ms} ms: {measurement.name}"
+                measurements.append(attrs.evolve(measurement, name=name, aim=""))
+    return measurements
 
 
 EXPERIMENTS: dict[str, Experiment] = {
--- a/benchmarks/live.py
+++ b/benchmarks/live.py
@@ -19,7 +19,7 @@
 import attrs
 import trio
 
-from benchmarks.measurements import Figure, merged, percentile
+from benchmarks.measurements import Measurement, merged, percentile
 from standins.layout import BUSINESSES, POOL, SECRET
 from wharftiller.edges.http_client import HttpConnection
 from wharftiller.edges.transport import TcpTransport
@@ -147,7 +147,7 @@
     return times
 
 
-async def connection_figures(place: Place) -> list[Figure]:
+async def connection_measurements(place: Place) -> list[Measurement]:
     """Return what a caller connection costs: memory while it idles, core time to come anew."""
     before = place.resident_bytes
     cpu_s = place.cpu_s
@@ -161,8 +161,10 @@
     for connection in connections:
         await connection.aclose()
     return [
-        Figure("memory per idle caller connection", "bytes", (grown / IDLE_CONNECTIONS,), "< 8192"),
-        Figure(
+        Measurement(
+            "memory per idle caller connection", "bytes", (grown / IDLE_CONNECTIONS,), "< 8192"
+        ),
+        Measurement(
             "core time of a new caller connection and a first request",
             "us",
             (1e6 * used_s / IDLE_CONNECTIONS,),
@@ -170,7 +172,7 @@
     ]
 
 
-async def measure(folder: Path) -> list[Figure]:
+async def measure(folder: Path) -> list[Measurement]:
     """Return one run's figures on the deployment in ``folder``."""
     layout = json.loads((folder / "layout.json").read_text())
     proxy = Place(layout["boxes"]["box-1"]["proxy"], _pid(folder, "box-1-proxy"))
@@ -180,25 +182,29 @@
     primary = next(name for name, report in reports.items() if report["role"] == "primary")
     replica = next(name for name, report in reports.items() if report["role"] == "replica")
     term = reports[primary]["promised"]
-    figures = []
+    measurements = []
     for kind, server in (("read", replica), ("write", primary)):
         endpoint = Place(layout["endpoints"][server]["address"], _pid(folder, server))
         direct_s, direct_core = await throughput(endpoint, directly(kind, term), True)
         proxy_s, proxy_core = await throughput(proxy, through_proxy(kind), False)
         direct = await latencies(endpoint, directly(kind, term), True)
         added = await latencies(proxy, through_proxy(kind), False)
-        figures += [
-            Figure(f"{kind}s a second of a core, endpoint directly", "1/s", (direct_core,)),
-            Figure(f"{kind}s a second of a core, through a proxy", "1/s", (proxy_core,)),
-            Figure(f"{kind}s, proxy against direct, of a core", "x", (proxy_core / direct_core,)),
-            Figure(f"{kind}s a second, endpoint directly", "1/s", (direct_s,)),
-            Figure(f"{kind}s a second, through a proxy", "1/s", (proxy_s,)),
-            Figure(f"{kind}: added p50", "ms", (percentile(added, 0.5) - percentile(direct, 0.5),)),
-            Figure(
+        measurements += [
+            Measurement(f"{kind}s a second of a core, endpoint directly", "1/s", (direct_core,)),
+            Measurement(f"{kind}s a second of a core, through a proxy", "1/s", (proxy_core,)),
+            Measurement(
+                f"{kind}s, proxy against direct, of a core", "x", (proxy_core / direct_core,)
+            ),
+            Measurement(f"{kind}s a second, endpoint directly", "1/s", (direct_s,)),
+            Measurement(f"{kind}s a second, through a proxy", "1/s", (proxy_s,)),
+            Measurement(
+                f"{kind}: added p50", "ms", (percentile(added, 0.5) - percentile(direct, 0.5),)
+            ),
+            Measurement(
                 f"{kind}: added p99", "ms", (percentile(added, 0.99) - percentile(direct, 0.99),)
             ),
         ]
-    return figures
+    return measurements
 
 
 async def _report(address: str) -> Any:
@@ -212,15 +218,15 @@
     return int((folder / "pids" / name).read_text())
 
 
-def keep(figures: list[Figure]) -> None:
+def keep(measurements: list[Measurement]) -> None:
     """Keep the figures among the slopes of docs/CAPACITY.md."""
     slopes = json.loads(SLOPES_FILE.read_text()) if SLOPES_FILE.exists() else {}
-    for figure in figures:
-        slopes[f"live: {figure.name}"] = {
-            "median": statistics.median(figure.values),
-            "low": min(figure.values),
-            "high": max(figure.values),
-            "runs": len(figure.values),
+    for measurement in measurements:
+        slopes[f"live: {measurement.name}"] = {
+            "median": statistics.median(measurement.values),
+            "low": min(measurement.values),
+            "high": max(measurement.values),
+            "runs": len(measurement.values),
         }
     SLOPES_FILE.write_text(json.dumps(slopes, indent=1) + "\n")
 
@@ -229,11 +235,11 @@
     """Print every figure and keep them."""
     layout = json.loads((folder / "layout.json").read_text())
     proxy = Place(layout["boxes"]["box-1"]["proxy"], _pid(folder, "box-1-proxy"))
-    figures = await connection_figures(proxy)
-    figures += merged([await measure(folder) for _ in range(RUNS)])
-    for figure in figures:
-        print(f"live: {figure.line()}", flush=True)
-    keep(figures)
+    measurements = await connection_measurements(proxy)
+    measurements += merged([await measure(folder) for _ in range(RUNS)])
+    for measurement in measurements:
+        print(f"live: {measurement.line()}", flush=True)
+    keep(measurements)
 
 
 if __name__ == "__main__":
--- a/benchmarks/measurements.py
+++ b/benchmarks/measurements.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Figure:
+class Measurement:
     """One measured quantity.
 
     Attributes
@@ -35,14 +35,14 @@
         return f"{self.name}  {median:.4g}  {self.unit}  ({spread}{aim})"
 
 
-def merged(runs: list[list[Figure]]) -> list[Figure]:
+def merged(runs: list[list[Measurement]]) -> list[Measurement]:
     """Return one figure a name with the values of every run."""
-    found: dict[str, Figure] = {}
+    found: dict[str, Measurement] = {}
     for run in runs:
-        for figure in run:
-            before = found.get(figure.name)
-            values = (*before.values, *figure.values) if before else figure.values
-            found[figure.name] = attrs.evolve(figure, values=values)
+        for measurement in run:
+            before = found.get(measurement.name)
+            values = (*before.values, *measurement.values) if before else measurement.values
+            found[measurement.name] = attrs.evolve(measurement, values=values)
     return list(found.values())
 
 
--- a/benchmarks/sessions/callers.py
+++ b/benchmarks/sessions/callers.py
@@ -53,7 +53,7 @@
     lock: trio.Lock = attrs.field(factory=trio.Lock)
 
 
-class CallerCrowd:
+class CallerLoad:
     """All callers."""
 
     def __init__(self, plan: Plan, balancer: Balancer, groups: list[str], seed: random.Random):
--- a/benchmarks/sessions/run.py
+++ b/benchmarks/sessions/run.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from benchmarks.sessions.balancer import Balancer
-from benchmarks.sessions.callers import CallerCrowd, Outcomes
+from benchmarks.sessions.callers import CallerLoad, Outcomes
 from standins.line_endpoints import LineGroup, LineServer
 from standins.object_store import Mood
 from wharftiller.tests.platform.world import STORE_IP, World
@@ -136,7 +136,7 @@
             for fault in plan.faults:
                 nursery.start_soon(deployment.strike, fault)
             names = [group.name for group in deployment.world.groups]
-            crowd = CallerCrowd(plan, balancer, names, chance)
+            crowd = CallerLoad(plan, balancer, names, chance)
             await crowd.run()
             nursery.cancel_scope.cancel()
         return crowd.outcomes
