--- a/benchmarks/sessions/run.py
+++ b/benchmarks/sessions/run.py
@@ -11,7 +11,7 @@
 from benchmarks.sessions.balancer import Balancer
 from benchmarks.sessions.callers import CallerLoad, Outcomes
 from standins.line_endpoints import LineGroup, LineServer
-from standins.object_store import Mood
+from standins.object_store import StoreMode
 from wharftiller.tests.platform.world import STORE_IP, World
 
 if TYPE_CHECKING:
@@ -103,9 +103,9 @@
                 await trio.sleep(fault.for_s)
                 group.lag_s = before
             case "platform_away":
-                world.store.mood = Mood.AWAY
+                world.store.mode = StoreMode.AWAY
                 await trio.sleep(fault.for_s)
-                world.store.mood = Mood.WELL
+                world.store.mode = StoreMode.WELL
 
     async def _power_off_all(self, down_s: float) -> None:
         """End every box; endpoints keep their connections for as long as the plan says."""
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -17,7 +17,7 @@
     from wharftiller.edges.transport import Transport
 
 
-class Mood(enum.Enum):
+class StoreMode(enum.Enum):
     """How the store answers."""
 
     WELL = "well"
@@ -71,7 +71,7 @@
         self._forgotten = 0
         self._changed = trio.Event()
         self.revision = 0
-        self.mood = Mood.WELL
+        self.mode = StoreMode.WELL
         self.lose_answers = 0
         self.deaf_watches = False
         self.slow_lists: dict[str, float] = {}
@@ -149,9 +149,9 @@
 
     async def _answer(self, request: HttpRequest) -> HttpResponse:
         self.calls += 1
-        if self.mood is Mood.AWAY:
+        if self.mode is StoreMode.AWAY:
             await trio.sleep_forever()
-        if self.mood is Mood.BUSY:
+        if self.mode is StoreMode.BUSY:
             return HttpResponse(503, {})
         if request.path == "/promotion":
             return await self._promote(request)
--- a/wharftiller/tests/platform/test_failovers.py
+++ b/wharftiller/tests/platform/test_failovers.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from standins.object_store import Mood
+from standins.object_store import StoreMode
 from wharftiller.core.leadership.failover import UNREACHABLE_S
 from wharftiller.core.leadership.lease import LEASE_S
 from wharftiller.daemons.sessions.connections.probes import PROBE_S, QUIET_PRIMARY_S
@@ -198,10 +198,10 @@
     def test_an_entry_that_lapsed_while_the_store_was_away_changes_nothing(self) -> None:
         async def story(world: World) -> None:
             group = world.groups[0]
-            world.store.mood = Mood.AWAY
+            world.store.mode = StoreMode.AWAY
             await trio.sleep(4.0)
             world.store.remove("servers", group.primary.name)
-            world.store.mood = Mood.WELL
+            world.store.mode = StoreMode.WELL
             await trio.sleep(2.0)
             world.register(group.primary)
             await trio.sleep(6.0)
--- a/wharftiller/tests/platform/test_failovers_under_failures.py
+++ b/wharftiller/tests/platform/test_failovers_under_failures.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from standins.object_store import Mood
+from standins.object_store import StoreMode
 from wharftiller.core.leadership.lease import LEASE_S, LISTING_S
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
@@ -54,7 +54,7 @@
     def test_an_outage_of_the_platform_stops_no_write(self) -> None:
         async def story(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
-            world.store.mood = Mood.AWAY
+            world.store.mode = StoreMode.AWAY
             for number in range(100):
                 assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
                 await trio.sleep(0.1)
@@ -75,7 +75,7 @@
 
     def test_a_box_that_starts_during_an_outage_learns_from_its_neighbours(self) -> None:
         async def story(world: World) -> None:
-            world.store.mood = Mood.BUSY
+            world.store.mode = StoreMode.BUSY
             box = await world.start_box(4)
             await trio.sleep(3)
             reader = await world.call(box, "bounded_staleness")
--- a/wharftiller/tests/platform/test_isolation.py
+++ b/wharftiller/tests/platform/test_isolation.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from standins.object_store import Mood
+from standins.object_store import StoreMode
 from wharftiller.core.sessions.isolation import BALANCER_SEES_S, ISOLATED_MOST_S
 from wharftiller.tests.platform.world import STORE_IP, World, make_group, run_in_world
 
@@ -150,7 +150,7 @@
 
     def test_an_outage_of_the_platform_isolates_nobody(self) -> None:
         async def story(world: World) -> None:
-            world.store.mood = Mood.AWAY
+            world.store.mode = StoreMode.AWAY
             await world.kill_box(world.boxes["box-3"])
             for _ in range(100):
                 await trio.sleep(0.1)
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from standins.object_store import Mood
+from standins.object_store import StoreMode
 from wharftiller.daemons.sessions.forwarding.gateways import AVOIDED_S
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.tests.platform.world import (
@@ -55,7 +55,7 @@
             await trio.sleep(5)
             callers = [await world.call(box, "primary") for box in world.boxes.values()]
             monkeypatch.setattr(BoxDirectory, "post", counted)
-            world.store.mood = Mood.AWAY
+            world.store.mode = StoreMode.AWAY
             calls = world.store.calls
             until = trio.current_time() + OUTAGE_S
             while trio.current_time() < until:
@@ -76,7 +76,7 @@
                 if box is not gateway and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
             )
             caller = await world.call(other, "primary")
-            world.store.mood = Mood.AWAY
+            world.store.mode = StoreMode.AWAY
             await trio.sleep(OUTAGE_S)
             await world.kill_box(gateway)
             assert await write_until_done(caller, "WRITE seat1 x", AVOIDED_S) < 1.0
@@ -97,7 +97,7 @@
                 for box in world.boxes.values()
                 if box is not gateway and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
             )
-            world.store.mood = Mood.AWAY
+            world.store.mode = StoreMode.AWAY
             await world.kill_box(gateway)
             gateway = await world.start_box(int(gateway.name.removeprefix("box-")))
             await trio.sleep(AVOIDED_S + 1.0)
--- a/wharftiller/tests/platform/test_readers.py
+++ b/wharftiller/tests/platform/test_readers.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from standins.object_store import Mood
+from standins.object_store import StoreMode
 from wharftiller.core.sessions.bounds import PlatformBounds
 from wharftiller.daemons.sessions.membership import readers
 from wharftiller.daemons.sessions.membership.box_server import BoxServer
@@ -72,7 +72,7 @@
     def test_an_outage_of_the_platform_stops_no_write(self) -> None:
         async def story(world: World) -> None:
             callers = [await world.call(box, "primary") for box in world.boxes.values()]
-            world.store.mood = Mood.AWAY
+            world.store.mode = StoreMode.AWAY
             # Rounds take the list of boxes for 12 s; outages of 4 to 9 s were seen.
             until = trio.current_time() + 10
             while trio.current_time() < until:
--- a/wharftiller/tests/platform/test_restored_platform.py
+++ b/wharftiller/tests/platform/test_restored_platform.py
@@ -8,7 +8,7 @@
 import trio
 
 from standins.line_endpoints import LineServer
-from standins.object_store import Mood
+from standins.object_store import StoreMode
 from wharftiller.core.errors import PlatformUnavailableError
 from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 from wharftiller.core.sessions.statements import EndpointStatus
@@ -40,10 +40,10 @@
 
 
 async def restore(world: World, taken: object) -> None:
-    world.store.mood = Mood.AWAY
+    world.store.mode = StoreMode.AWAY
     await trio.sleep(AWAY_S)
     world.store.restore(taken)  # type: ignore[arg-type]
-    world.store.mood = Mood.WELL
+    world.store.mode = StoreMode.WELL
 
 
 async def replace_cut_off_primary(world: World) -> None:
--- a/wharftiller/tests/soak/faults.py
+++ b/wharftiller/tests/soak/faults.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from standins.object_store import Mood
+from standins.object_store import StoreMode
 from wharftiller.tests.soak.plan import BOX_KINDS, LINK_KINDS, SERVER_KINDS, FaultKind
 
 if TYPE_CHECKING:
@@ -99,9 +99,9 @@
     store = deployment.store
     match fault.kind:
         case FaultKind.STORE_AWAY | FaultKind.STORE_BUSY:
-            store.mood = Mood.AWAY if fault.kind is FaultKind.STORE_AWAY else Mood.BUSY
+            store.mode = StoreMode.AWAY if fault.kind is FaultKind.STORE_AWAY else StoreMode.BUSY
             await trio.sleep(fault.for_s)
-            store.mood = Mood.WELL
+            store.mode = StoreMode.WELL
         case FaultKind.STORE_LOSES_ANSWERS:
             store.lose_answers += 2
         case FaultKind.STORE_FORGETS:
