--- a/benchmarks/sessions/balancer.py
+++ b/benchmarks/sessions/balancer.py
@@ -14,7 +14,7 @@
 
     from wharftiller.tests.platform.world import BoxProcess, World
 
-LOOK_S = 1.0
+POLL_S = 1.0
 """Time between looks at a box, in seconds."""
 
 MISSES = 2
@@ -40,7 +40,7 @@
                 box = self._world.boxes.get(name)
                 ready = box is not None and _is_ready(box)
                 self._missed[name] = 0 if ready else self._missed[name] + 1
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_S)
 
     async def connect(self, data_centre: int) -> trio.abc.Stream:
         """Return a connection to a box.
--- a/benchmarks/sessions/policies.py
+++ b/benchmarks/sessions/policies.py
@@ -27,9 +27,9 @@
 
 
 POLICIES = {
-    "isolation": Policy(f"{CORE}.sessions.isolation", "UNUSABLE_PART", 1.0),
+    "isolation": Policy(f"{CORE}.sessions.isolation", "UNUSABLE_FRACTION", 1.0),
     "extras_close": Policy(f"{SHELL}.connections.pool", "EXTRA_IDLE_S", 4.0),
-    "kept_half": Policy(f"{CORE}.sessions.shares", "KEPT_PART", 1),
+    "kept_half": Policy(f"{CORE}.sessions.shares", "KEPT_DIVISOR", 1),
     "near_reads": Policy(f"{CORE}.sessions.routing", "DISTANCE_COST", 0.0),
     "lead_spared": Policy(f"{CORE}.sessions.routing", "LEAD_COST", 0.0),
     "hold_for_primary": Policy(f"{SHELL}.serving.endpoint_selection", "HOLD_FOR_PRIMARY_S", 0.0),
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -22,7 +22,7 @@
 READY_S = 30.0
 """Time within which processes listen and groups have a primary on a loaded machine, in seconds."""
 
-LOOK_AGAIN_S = 0.1
+RECHECK_S = 0.1
 """Time between looks, in seconds."""
 
 
@@ -94,7 +94,7 @@
             try:
                 stream = await TcpTransport().connect(address)
             except ExchangeError:
-                await trio.sleep(LOOK_AGAIN_S)
+                await trio.sleep(RECHECK_S)
             else:
                 await stream.aclose()
                 return
@@ -146,7 +146,7 @@
                 led = all((row["record"] or {}).get("primary") for row in groups)
                 if led and status["in_force_on"] == len(self.layout["boxes"]):
                     break
-                await trio.sleep(LOOK_AGAIN_S)
+                await trio.sleep(RECHECK_S)
         self.check("in force everywhere", True, f"on {status['in_force_on']} boxes")
 
     async def primary_of(self, group: str) -> str:
@@ -161,7 +161,7 @@
                 row = next(row for row in groups if row["group"]["name"] == group)
                 if row["record"]["primary"]:
                     return str(row["record"]["primary"])
-                await trio.sleep(LOOK_AGAIN_S)
+                await trio.sleep(RECHECK_S)
 
     def kill(self, process: str) -> None:
         """End one process of the deployment the hard way."""
--- a/standins/line_endpoints.py
+++ b/standins/line_endpoints.py
@@ -20,7 +20,7 @@
 
     from wharftiller.edges.transport import Transport
 
-SYNC_LOOK_S = 0.005
+SYNC_POLL_S = 0.005
 """Time between looks at whether enough replicas hold a write, in seconds."""
 
 
@@ -168,7 +168,7 @@
         self.nursery.start_soon(self._replicate, server)
         written = server.position
         while self._holding(server, written) < self.sync_replicas:
-            await trio.sleep(SYNC_LOOK_S)
+            await trio.sleep(SYNC_POLL_S)
 
     def _holding(self, source: LineServer, position: str) -> int:
         """Return how many other servers hold ``position``."""
--- a/wharftiller/core/admission.py
+++ b/wharftiller/core/admission.py
@@ -17,7 +17,7 @@
     from wharftiller.core.tables import GroupRow, ServerRow, Tables
 
 
-DEADLINE_PART = 0.8
+DEADLINE_FRACTION = 0.8
 """Part of its deadline that a request may be expected to take when it is let in."""
 
 
@@ -110,7 +110,7 @@
         detail = f"{own} of this business wait, {own_bound} may; come back after retry_after_ms"
         return Reason(ReasonKind.BUSINESS_QUEUE_FULL, detail)
     wait_s = _expected_wait_s(tables, group, row, line)
-    if len(queue) and wait_s > DEADLINE_PART * (row.deadline_at - row.arrived_at):
+    if len(queue) and wait_s > DEADLINE_FRACTION * (row.deadline_at - row.arrived_at):
         detail = (
             f"about {wait_s * 1000:.0f} ms are needed, the deadline is "
             f"{row.request.deadline_ms} ms; come back after retry_after_ms"
--- a/wharftiller/core/answers.py
+++ b/wharftiller/core/answers.py
@@ -16,7 +16,7 @@
 RETRY_AFTER_FAILOVER_MS = 500
 RETRY_AFTER_UNKNOWN_MS = 300
 TOKENS_PER_SUCCESS = 0.1
-MOST_RETRY_TOKENS = 10.0
+MAX_RETRY_TOKENS = 10.0
 
 
 def jittered(tables: Tables, milliseconds: float) -> int:
@@ -83,7 +83,7 @@
     session = row.request.session
     if position is not None:
         session = session.advanced(row.group, position)
-    tables.retry_tokens = min(MOST_RETRY_TOKENS, tables.retry_tokens + TOKENS_PER_SUCCESS)
+    tables.retry_tokens = min(MAX_RETRY_TOKENS, tables.retry_tokens + TOKENS_PER_SUCCESS)
     if not row.is_booking:
         _count_read(tables, row, by_primary)
     _finish(
--- a/wharftiller/core/detection.py
+++ b/wharftiller/core/detection.py
@@ -12,7 +12,7 @@
 MAJORITY = 2
 """Servers of three that have to agree."""
 
-RECENT_PART = 0.5
+RECENT_FRACTION = 0.5
 """Age up to which a report says that a server is reached, as a part of the detection time."""
 
 TARGET_LAG_RECORDS = 1_000
@@ -21,7 +21,7 @@
 
 def _heard(tables: WatchTables, name: str, now: float) -> bool:
     server = tables.servers[name]
-    recent_s = tables.detect_s * RECENT_PART
+    recent_s = tables.detect_s * RECENT_FRACTION
     return server.report is not None and now - server.last_contact_at <= recent_s
 
 
@@ -34,7 +34,7 @@
         Time by which this steward holds back so that another acts first, in seconds.
     """
     silent_s = now - group.led_at
-    leads = group.primary if silent_s <= tables.detect_s * RECENT_PART else None
+    leads = group.primary if silent_s <= tables.detect_s * RECENT_FRACTION else None
     heard = [name for name in group.names if name != leads and _heard(tables, name, now)]
     if len(heard) < MAJORITY:
         return False
@@ -46,7 +46,9 @@
 
 def _lost_its_primary(tables: WatchTables, name: str) -> bool:
     report = tables.servers[name].report
-    return report is not None and report.primary_silent_ms >= tables.detect_s * RECENT_PART * 1000
+    return (
+        report is not None and report.primary_silent_ms >= tables.detect_s * RECENT_FRACTION * 1000
+    )
 
 
 def _all_cut_off(tables: WatchTables, group: WatchedGroup, heard: list[str], delay: float) -> bool:
--- a/wharftiller/core/leadership/read_schedule.py
+++ b/wharftiller/core/leadership/read_schedule.py
@@ -21,14 +21,14 @@
 Leases of 6 s are renewed by what it reads where there are many boxes.
 """
 
-READER_READS_PART = 0.27
+READER_READS_FRACTION = 0.27
 """Longest time between its reads, as a part of that within which a configuration is in force.
 
-Also where the platform's watches do not tell a change: this part, `READ_KNOWN_PART` for a
+Also where the platform's watches do not tell a change: this part, `READ_KNOWN_FRACTION` for a
 reader that is cut off, and a read must fit in.
 """
 
-READ_KNOWN_PART = 0.63
+READ_KNOWN_FRACTION = 0.63
 """Age of the newest read of any box from which a box reads for itself, as such a part.
 
 Of 3 s: a reader's pause (0.8 s), the time between rounds (1 s), and a margin.
@@ -67,8 +67,8 @@
     def within(cls, bounds: PlatformBounds) -> ReadIntervals:
         """Return the pace that keeps the platform's bounds."""
         in_force_s = bounds.configuration_in_force_s
-        reader_s = min(READER_READS_S, READER_READS_PART * in_force_s)
-        return cls(reader_s, READ_KNOWN_PART * in_force_s)
+        reader_s = min(READER_READS_S, READER_READS_FRACTION * in_force_s)
+        return cls(reader_s, READ_KNOWN_FRACTION * in_force_s)
 
 
 @attrs.frozen
--- a/wharftiller/core/leadership/record.py
+++ b/wharftiller/core/leadership/record.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-LOST_MOST = 10_000
+MAX_LOST_UPDATES = 10_000
 """More updates, and fences, than are ever written in the seconds that a copy is old."""
 
 
@@ -133,8 +133,8 @@
         return attrs.evolve(
             self,
             revision=revision,
-            fence=max(self.fence + LOST_MOST, revision),
-            updates=max(self.updates + LOST_MOST, revision),
+            fence=max(self.fence + MAX_LOST_UPDATES, revision),
+            updates=max(self.updates + MAX_LOST_UPDATES, revision),
             groups=groups,
             is_written_back=True,
             is_confirmed=True,
--- a/wharftiller/core/promotion.py
+++ b/wharftiller/core/promotion.py
@@ -46,7 +46,7 @@
 RANK_DELAY_S = 0.25
 """Each rank of steward waits this much longer before it acts, in seconds."""
 
-MOST_RANKS = 4
+MAX_RANKS = 4
 ATTEMPT_S = 3.0
 PLANNED_ATTEMPT_S = 8.0
 LEASE_S = 1.0
@@ -64,7 +64,7 @@
     rank = tables.rank_for(group)
     if rank is None or now < group.next_try_at:
         return
-    delay = RANK_DELAY_S * min(rank, MOST_RANKS)
+    delay = RANK_DELAY_S * min(rank, MAX_RANKS)
     if primary_is_lost(tables, group, now, delay):
         _start(tables, group, None, now)
         return
@@ -370,7 +370,7 @@
     )
 
 
-FOLLOW_AGAIN_S = 0.3
+FOLLOW_RETRY_S = 0.3
 
 
 def remind_followers(tables: WatchTables, group: WatchedGroup, now: float) -> None:
@@ -381,7 +381,7 @@
     for name in group.names:
         server = tables.servers[name]
         report = server.report
-        if server is primary or report is None or now - server.followed_at < FOLLOW_AGAIN_S:
+        if server is primary or report is None or now - server.followed_at < FOLLOW_RETRY_S:
             continue
         astray = report.log_term < group.term
         deaf = report.primary_silent_ms > tables.detect_s * 1000
--- a/wharftiller/core/sessions/allowances/bounds.py
+++ b/wharftiller/core/sessions/allowances/bounds.py
@@ -16,14 +16,14 @@
 takes another one before it is sent.
 """
 
-GRANTED_PART = 0.9
+GRANTED_FRACTION = 0.9
 """Part of the bound that the keepers of all data centres grant together.
 
 What a keeper that takes over grants beyond, not knowing what the one before granted, stays within
 what buckets and hand-overs leave unused: `TestHistories` looks at the fullest window.
 """
 
-LEAST_BURST = 8.0
+MIN_BURST = 8.0
 """Operations at once that each data centre grants even to a small workspace.
 
 Its callers come at random: now and then several at once, through one data centre.
@@ -86,7 +86,7 @@
     """Return how many operations within a window each data centre owns."""
     if allowance.rate_per_s <= 0 and allowance.burst <= 0:
         return 0.0
-    return GRANTED_PART * bounds.most(allowance) / bounds.data_centres
+    return GRANTED_FRACTION * bounds.most(allowance) / bounds.data_centres
 
 
 def bucket_size(allowance: Allowance, share: float, bounds: AllowanceBounds) -> BucketSize:
@@ -96,5 +96,5 @@
     meanwhile, at most ``burst`` times more, as its bucket starts empty.
     """
     span_s = bounds.window_s + TOKEN_LIFE_S
-    burst = min(max(allowance.burst / bounds.data_centres, LEAST_BURST), share / 2)
+    burst = min(max(allowance.burst / bounds.data_centres, MIN_BURST), share / 2)
     return BucketSize(min(share / span_s, allowance.rate_per_s), burst, share, span_s)
--- a/wharftiller/core/sessions/allowances/buckets.py
+++ b/wharftiller/core/sessions/allowances/buckets.py
@@ -18,7 +18,7 @@
 MAX_PREFETCHED = 8
 """Tokens that a box takes ahead at most."""
 
-MOST_AHEAD_S = 8.0
+MAX_AHEAD_S = 8.0
 """Callers are told to come back for tokens of the next so many seconds; later ones as late."""
 
 
@@ -103,10 +103,10 @@
         """
         rate = self.size.rate_per_s
         if rate <= 0:
-            return MOST_AHEAD_S
+            return MAX_AHEAD_S
         turn_at = max(self._first_at(now), self._promised_until + 1 / rate)
-        if turn_at - now > MOST_AHEAD_S:
-            return MOST_AHEAD_S
+        if turn_at - now > MAX_AHEAD_S:
+            return MAX_AHEAD_S
         self._promised_until = turn_at
         return turn_at - now
 
--- a/wharftiller/core/sessions/allowances/shares.py
+++ b/wharftiller/core/sessions/allowances/shares.py
@@ -24,16 +24,16 @@
 LOAN_S = 8.0
 """Time for which a loan may be used, in seconds: longer than most cuts of a data centre last."""
 
-RENEWED_PART = 0.5
+RENEWED_FRACTION = 0.5
 """Part of a loan's time after which it is renewed, if it is still needed."""
 
-LENDABLE_PART = 0.95
+LENDABLE_FRACTION = 0.95
 """Part of its own that a data centre lends to all others together.
 
 The rest is what a keeper that took over beside a cut starts with.
 """
 
-ASK_AGAIN_S = 0.4
+RETRY_S = 0.4
 """Time between questions for one workspace's loans, in seconds: while it asks for more than it
 may run all keepers are short, and a question each time would only tell them so."""
 
@@ -143,7 +143,7 @@
     @property
     def _most_to_one(self) -> float:
         """Most that another data centre may hold of this one's."""
-        return self._own * LENDABLE_PART / max(1, len(self._others))
+        return self._own * LENDABLE_FRACTION / max(1, len(self._others))
 
     def resize(self, own: float) -> None:
         """Own another amount from now on; loans stay what they are until they end."""
@@ -164,9 +164,9 @@
 
     def wants(self, is_short: bool, now: float) -> bool:
         """Return whether to ask the others now: being short, or for loans that soon end."""
-        if not self._others or now - self._asked_at < ASK_AGAIN_S:
+        if not self._others or now - self._asked_at < RETRY_S:
             return False
-        renew_at = LOAN_S * (1 - RENEWED_PART)
+        renew_at = LOAN_S * (1 - RENEWED_FRACTION)
         return is_short or any(0 < loan.until - now < renew_at for loan in self._held.values())
 
     def questions(
--- a/wharftiller/core/sessions/allowances/token_allocator.py
+++ b/wharftiller/core/sessions/allowances/token_allocator.py
@@ -31,7 +31,7 @@
 """Part of its data centre's own that a box grants in place of a keeper that may live.
 
 A keeper that is slow or cut off from some boxes goes on granting to the others, so both together
-must stay within the bound: what `GRANTED_PART` leaves is for a stand-in in every data centre.
+must stay within the bound: what `GRANTED_FRACTION` leaves is for a stand-in in every data centre.
 """
 
 SILENCE_S = 1.5
--- a/wharftiller/core/sessions/concurrency.py
+++ b/wharftiller/core/sessions/concurrency.py
@@ -20,7 +20,7 @@
 INCREASE = 0.1
 """What an answered statement adds to the limit: one more place after ten answers."""
 
-LEAST = 1.0
+MIN_LIMIT = 1.0
 """At least one statement may always run."""
 
 
@@ -44,7 +44,7 @@
         if now - self._decreased_at < DECREASE_PAUSE_S:
             return
         self._decreased_at = now
-        self._limit = max(LEAST, min(self._limit, running) * DECREASE)
+        self._limit = max(MIN_LIMIT, min(self._limit, running) * DECREASE)
 
     def answered(self) -> None:
         """Note an answer."""
--- a/wharftiller/core/sessions/connection_limits.py
+++ b/wharftiller/core/sessions/connection_limits.py
@@ -21,10 +21,10 @@
 CALLERS_FLOOR = 16
 """Callers' connections that a box must be able to take to be worth starting."""
 
-GROWTH_PART = 0.25
+GROWTH_FRACTION = 0.25
 """Part of the descriptors kept for connections of its own that a box does not hold yet."""
 
-GROWTH_MOST = 400
+MAX_GROWTH = 400
 """Most descriptors kept for that: two connections to and from each of a hundred boxes."""
 
 PROCESS_MB = 96.0
@@ -33,11 +33,11 @@
 SESSION_KB = 64.0
 """Memory kept for one caller's session with a statement under way, in kB."""
 
-NEARLY_FULL_PART = 0.9
+NEARLY_FULL_FRACTION = 0.9
 """Part of the room from which on a box is not ready: the balancer passes it over before callers
 are refused."""
 
-ROOM_AGAIN_PART = 0.8
+REOPEN_FRACTION = 0.8
 """Part of the room below which a box is ready again: lower, so that it does not change each
 second."""
 
@@ -105,7 +105,7 @@
         Connections of its own that it holds now: to and from other boxes, endpoints and the
         platform.
     """
-    growth = min(GROWTH_MOST, int(GROWTH_PART * limits.connections))
+    growth = min(MAX_GROWTH, int(GROWTH_FRACTION * limits.connections))
     by_descriptors = limits.connections - max(OWN_FLOOR, own + growth)
     by_memory = int((limits.memory_mb - PROCESS_MB) * 1024 / SESSION_KB)
     return max(CALLERS_FLOOR, min(by_descriptors, by_memory))
@@ -144,7 +144,7 @@
     @property
     def is_nearly_full(self) -> bool:
         """Whether new callers are better sent to other boxes."""
-        part = ROOM_AGAIN_PART if self._nearly_full else NEARLY_FULL_PART
+        part = REOPEN_FRACTION if self._nearly_full else NEARLY_FULL_FRACTION
         self._nearly_full = len(self) >= part * self.room
         return self._nearly_full
 
--- a/wharftiller/core/sessions/gateways.py
+++ b/wharftiller/core/sessions/gateways.py
@@ -1,7 +1,7 @@
 """Which boxes keep connections to a group's endpoints where there are too few for all boxes.
 
 Every box serves callers of every group. Where an endpoint's connections would leave a
-box less than `LEAST_SHARE`, only a few boxes of each data centre, the group's homes, keep
+box less than `MIN_SHARE`, only a few boxes of each data centre, the group's homes, keep
 connections; the others pass their statements to a home in their own data centre.
 """
 
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-LEAST_SHARE = 2
+MIN_SHARE = 2
 """Connections to one endpoint that a box must be able to have to serve by itself.
 
 One for a transaction and one for single statements beside it.
@@ -52,7 +52,7 @@
 
 def plan_gateways(max_connections: int, boxes: int, data_centres: int) -> GatewayPlan:
     """Return how ``boxes`` boxes in all share an endpoint's ``max_connections``."""
-    if most_connections(max_connections, boxes) >= LEAST_SHARE or boxes <= data_centres:
+    if most_connections(max_connections, boxes) >= MIN_SHARE or boxes <= data_centres:
         return GatewayPlan(None, connection_share(max_connections, boxes))
     centres = max(1, data_centres)
     gateways = max(1, most_connections(max_connections, centres) // GATEWAY_SHARE)
--- a/wharftiller/core/sessions/isolation.py
+++ b/wharftiller/core/sessions/isolation.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping
 
-UNUSABLE_PART = 0.5
+UNUSABLE_FRACTION = 0.5
 """A box is isolated only if more than this part of the groups' primaries is beyond a cut.
 
 Of two sides of a cut at most one is short of more than half of them.
@@ -27,7 +27,7 @@
 BALANCER_SEES_S = 2.3
 """Time until the balancer has taken an unready box out, in seconds: two missed looks, 1 s apart."""
 
-ISOLATED_MOST_S = 6.0
+MAX_ISOLATED_S = 6.0
 """Time for which a box that lists boxes of a further data centre stays isolated, in seconds.
 
 The silent side may be dead instead of cut off; by then (2 s and the leases of 6 s, from
@@ -64,7 +64,7 @@
 
     def are_most(self, groups: Collection[str]) -> bool:
         """Return whether ``groups`` are more than a box can do without."""
-        return len(groups) > UNUSABLE_PART * self.groups
+        return len(groups) > UNUSABLE_FRACTION * self.groups
 
 
 @attrs.frozen
@@ -146,7 +146,7 @@
     def _decide_to_end(self, view: IsolationInputs, since: float) -> Step:
         still = self.silent <= view.silent
         hears_others = bool(view.elsewhere - view.silent)
-        time_out = view.now - since > ISOLATED_MOST_S
+        time_out = view.now - since > MAX_ISOLATED_S
         if not still or (hears_others and time_out):
             self.given_up = still
             self.since = None
--- a/wharftiller/core/sessions/retry_after.py
+++ b/wharftiller/core/sessions/retry_after.py
@@ -15,16 +15,16 @@
 from wharftiller.core.leadership.lease import LEASE_S, UNSETTLED_S
 from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 
-SOON_S = 0.3
+SHORT_RETRY_AFTER_S = 0.3
 """When most of what passes by itself has passed, in seconds.
 
 An endpoint that owes an answer counts as silent after as long, and another one is chosen.
 """
 
-LEAST_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 """Nobody is told to come back sooner, in seconds: two or three usual statements."""
 
-MOST_S = 8.0
+MAX_RETRY_AFTER_S = 8.0
 """Nobody is told to come back later, in seconds: the longest wait of a change of primary."""
 
 PEAK_S = 1.0
@@ -98,9 +98,9 @@
     if outlook.unverified_s is not None:
         if outlook.unverified_s < ORDERS_EFFECT_S + change_s:
             return ORDERS_EFFECT_S + change_s - outlook.unverified_s
-        return max(SOON_S, UNSETTLED_S + change_s - outlook.unverified_s)
+        return max(SHORT_RETRY_AFTER_S, UNSETTLED_S + change_s - outlook.unverified_s)
     if outlook.silent_s is None:
-        return SOON_S
+        return SHORT_RETRY_AFTER_S
     if outlook.silent_s < UNREACHABLE_S + change_s:
         return UNREACHABLE_S + change_s - outlook.silent_s
     return UNREACHABLE_BEHIND_CUT_S + LEASE_S + change_s - outlook.silent_s
@@ -121,4 +121,4 @@
     """Return what one caller is told for ``after_s`` seconds, within sensible bounds."""
     part = zlib.crc32(request_id.encode()) % 1000 / 1000
     spread = 1.0 + SPREAD * (2.0 * part - 1.0)
-    return min(MOST_S, max(LEAST_S, after_s)) * spread
+    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, after_s)) * spread
--- a/wharftiller/core/sessions/revisions.py
+++ b/wharftiller/core/sessions/revisions.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-MOST_COUNTED = 1_000
+MAX_COUNTED = 1_000
 """Revisions gone through one by one; more of them at once count as missed."""
 
 
@@ -51,7 +51,7 @@
     def misses(self, revision: int) -> bool:
         """Return whether a change up to ``revision`` may be one that was not seen."""
         changes = revision - self.settled
-        if changes > MOST_COUNTED:
+        if changes > MAX_COUNTED:
             return True
         known = sum(1 for each in self._seen if self.settled < each <= revision)
         return changes > known + self._removed
--- a/wharftiller/core/sessions/shares.py
+++ b/wharftiller/core/sessions/shares.py
@@ -5,7 +5,7 @@
 SET_ASIDE = 2
 """Connections of each endpoint set aside for status checks and for boxes that join."""
 
-KEPT_PART = 2
+KEPT_DIVISOR = 2
 """One in so many of the connections that a box could have is kept.
 
 Connections of boxes that lost power stay open until the endpoints notice; as many as those
@@ -19,7 +19,7 @@
     Boxes' lists may differ for a moment; the endpoint's refusal, which runs
     nothing, is the backstop.
     """
-    return max(1, most_connections(max_connections, boxes) // KEPT_PART)
+    return max(1, most_connections(max_connections, boxes) // KEPT_DIVISOR)
 
 
 def most_connections(max_connections: int, boxes: int) -> int:
--- a/wharftiller/core/sessions/wait_limits.py
+++ b/wharftiller/core/sessions/wait_limits.py
@@ -12,13 +12,13 @@
 
 import attrs
 
-QUEUED_PART = 0.3
+QUEUED_FRACTION = 0.3
 """Part of a route's latency goal that a statement may wait in queues.
 
 The rest is for its way, for running and for the further statements of a transaction.
 """
 
-LATE_PART = 0.1
+LATE_FRACTION = 0.1
 """Part of the goal that a statement may wait which was held for longer already, as while a
 primary was replaced: it takes a place that is free soon, and is not sent back for nothing."""
 
@@ -47,6 +47,6 @@
     goal_s : float
         Its route's latency goal, in seconds.
     """
-    begun_until = max(arrived_at + QUEUED_PART * goal_s, now + LATE_PART * goal_s)
+    begun_until = max(arrived_at + QUEUED_FRACTION * goal_s, now + LATE_FRACTION * goal_s)
     # The expected turn may come late; what has waited is not refused just before it.
     return WaitLimit(begun_until, max(arrived_at + goal_s, begun_until))
--- a/wharftiller/core/steward.py
+++ b/wharftiller/core/steward.py
@@ -33,7 +33,7 @@
 
     from wharftiller.core.configuration import Configuration
 
-PROBE_PART = 0.2
+PROBE_FRACTION = 0.2
 """Time between two reports of a primary, as a part of the time to detect its loss."""
 
 REPLICA_INTERVAL = 5
@@ -42,7 +42,7 @@
 PAUSE_S = 0.6
 """A gap between ticks beyond which this process must have been paused, in seconds."""
 
-PLATFORM_AGAIN_S = 0.2
+PLATFORM_RETRY_S = 0.2
 
 
 class StewardCore:
@@ -108,7 +108,7 @@
                 promotion.abandon(tables, group, wait_s, now, why)
             case PlatformFailed():
                 why = "the platform does not answer"
-                promotion.abandon(tables, group, PLATFORM_AGAIN_S, now, why)
+                promotion.abandon(tables, group, PLATFORM_RETRY_S, now, why)
             case OrderAnswered():
                 self._learn(message.endpoint, message.report, now)
                 promotion.order_answered(tables, group, message, now)
@@ -193,7 +193,7 @@
         While the primary says that it leads, replicas are asked seldom; once it
         is silent all are asked at the primary's pace.
         """
-        probe_s = self._tables.detect_s * PROBE_PART
+        probe_s = self._tables.detect_s * PROBE_FRACTION
         led = now - group.led_at <= 2 * probe_s and isinstance(group.step, Watching)
         return probe_s * REPLICA_INTERVAL if led and name != group.primary else probe_s
 
--- a/wharftiller/daemons/configuration_distributor.py
+++ b/wharftiller/daemons/configuration_distributor.py
@@ -29,8 +29,8 @@
 
 WATCH_S = 5.0
 FOLLOW_WAIT_MS = 2_000
-AGAIN_S = 0.3
-MOST_WAIT_MS = 10_000
+RETRY_S = 0.3
+MAX_WAIT_MS = 10_000
 STATUS_EVERY_S = 1.0
 PEERS_ASKED = 4
 
@@ -126,7 +126,7 @@
                 continue
             if not await self._watch_platform():
                 await self._ask_peers()
-                await trio.sleep(AGAIN_S * self._random.uniform(0.5, 1.5))
+                await trio.sleep(RETRY_S * self._random.uniform(0.5, 1.5))
 
     async def _watch_platform(self) -> bool:
         wait_s = WATCH_S if self._head_version else 0.0
@@ -142,7 +142,7 @@
         except PlatformUnavailableError:
             return False
         if stored is None and not self._head_version:
-            await trio.sleep(AGAIN_S)
+            await trio.sleep(RETRY_S)
         return True
 
     async def _follow_relays(self) -> bool:
@@ -213,7 +213,7 @@
                     self._take_boxes(await self._platform.boxes(), asked_at)
                 except PlatformUnavailableError:
                     self._count("list.failed")
-            await trio.sleep(min(every_s, 5.0) if self._list_read_at is not None else AGAIN_S)
+            await trio.sleep(min(every_s, 5.0) if self._list_read_at is not None else RETRY_S)
 
     # Passing on ---------------------------------------------------------
 
@@ -229,7 +229,7 @@
         question = from_caller(request.json(), ConfigurationRequest)
         self._in_force.update(question.in_force)
         boxes = self._boxes
-        with trio.move_on_after(min(question.wait_ms, MOST_WAIT_MS) / 1000):
+        with trio.move_on_after(min(question.wait_ms, MAX_WAIT_MS) / 1000):
             while question.generation >= self.generation and boxes is self._boxes:
                 await self._changed.wait()
         newer = question.generation < self.generation
--- a/wharftiller/daemons/proxy.py
+++ b/wharftiller/daemons/proxy.py
@@ -52,7 +52,7 @@
 
 PUBLISH_S = 1.0
 FOLLOW_WAIT_MS = 1_000
-FOLLOW_AGAIN_S = 0.2
+FOLLOW_RETRY_S = 0.2
 EXPLAIN_MATCHES = 16
 
 
@@ -209,7 +209,7 @@
                 if await self._follow_once(client):
                     break
             else:
-                await trio.sleep(FOLLOW_AGAIN_S)
+                await trio.sleep(FOLLOW_RETRY_S)
 
     async def _follow_once(self, client: PeerClient) -> bool:
         box = self._settings.box.name
--- a/wharftiller/daemons/sessions/allowances/rate_limiter.py
+++ b/wharftiller/daemons/sessions/allowances/rate_limiter.py
@@ -14,7 +14,7 @@
     PrefetchedTokens,
     token_server_order,
 )
-from wharftiller.core.sessions.retry_after import SOON_S, Cause
+from wharftiller.core.sessions.retry_after import SHORT_RETRY_AFTER_S, Cause
 from wharftiller.daemons.sessions.serving.routed import RateLimitedError
 from wharftiller.edges.allowances_json import TokenRequest
 
@@ -170,7 +170,7 @@
         raise RateLimitedError(
             f"no box that keeps the allowance of workspace {workspace.name} answers",
             Cause.BOX_LOST,
-            SOON_S,
+            SHORT_RETRY_AFTER_S,
         )
 
     async def _ask_one(self, keeper: str, question: TokenRequest) -> Grant:
--- a/wharftiller/daemons/sessions/allowances/token_server.py
+++ b/wharftiller/daemons/sessions/allowances/token_server.py
@@ -39,7 +39,7 @@
 """
 
 
-LOOK_AGAIN_S = 0.4
+RECHECK_S = 0.4
 """Time between questions to one keeper in whose place this box is asked, in seconds: several
 before it counts as silent."""
 
@@ -127,7 +127,7 @@
         """Ask the boxes in whose place this one is asked whether they live, now and then."""
         for name in self._keeper.before(workspace.name):
             box = self._directory.boxes.get(name)
-            if box is not None and now - self._looked_at.get(name, -math.inf) >= LOOK_AGAIN_S:
+            if box is not None and now - self._looked_at.get(name, -math.inf) >= RECHECK_S:
                 self._looked_at[name] = now
                 self._nursery.start_soon(self._look_at, box)
 
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -32,10 +32,10 @@
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
-LOOK_S = 0.15
+POLL_S = 0.15
 """Time between looks at whether a primary must be replaced, in seconds."""
 
-TAKE_OVER_LOOK_S = 1.0
+TAKE_OVER_POLL_S = 1.0
 """Time between questions whether the holder of a change lives, in seconds."""
 
 FIRST_RANK_DELAY_S = 0.3
@@ -92,7 +92,7 @@
     async def run(self) -> None:
         """Look for work for ever."""
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_S)
             if not self._state.leases.read_from_platform:
                 continue
             try:
@@ -282,7 +282,7 @@
         """Ask the box that holds a change whether it lives, and with which process."""
         box = self._directory.boxes.get(name)
         among = [] if box is None else [box]
-        await self._directory.round(no_older_than_s=TAKE_OVER_LOOK_S, among=among)
+        await self._directory.round(no_older_than_s=TAKE_OVER_POLL_S, among=among)
 
     def _holder_restarted(self, holder: str) -> bool:
         """Return whether the holder's box runs another process by now."""
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -25,7 +25,7 @@
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
-ASK_AGAIN_S = 0.2
+RETRY_S = 0.2
 """Time before a promotion or an update that failed is asked for again, in seconds."""
 
 ASK_LOST_S = 0.3
@@ -220,7 +220,7 @@
             row = self._state.endpoints.rows.get(moving.successor)
             if row is not None:
                 row.failed(trio.current_time())
-            await trio.sleep(ASK_AGAIN_S)
+            await trio.sleep(RETRY_S)
         return accepted
 
     async def _record_led(self, record: LeadershipRecord, led: dict[str, Leading]) -> None:
@@ -235,7 +235,7 @@
                 return
             except PlatformUnavailableError as error:
                 self._state.log.event("record_write_unanswered", why=str(error))
-                await trio.sleep(ASK_AGAIN_S)
+                await trio.sleep(RETRY_S)
         self._state.check_soon.set()
         await self._tell(led)
         for group, leading in led.items():
--- a/wharftiller/daemons/sessions/leadership/successors.py
+++ b/wharftiller/daemons/sessions/leadership/successors.py
@@ -23,7 +23,7 @@
 LEADS_WITHIN_S = 3.0
 """Time within which a promoted endpoint should say that it leads, in seconds."""
 
-LEADS_LOOK_S = 0.06
+LEADS_POLL_S = 0.06
 """Time between looks at whether it does, in seconds."""
 
 TAKES_EFFECT_S = 1.5
@@ -128,7 +128,7 @@
                 at_old, at_new = await self.status(old), await self.status(new)
                 if at_old is not None and at_new is not None and at_new.received >= at_old.received:
                     return True
-                await trio.sleep(LEADS_LOOK_S)
+                await trio.sleep(LEADS_POLL_S)
         self._state.log.event("successor_behind", endpoint=moving.successor)
         return False
 
@@ -159,6 +159,6 @@
                 status = await self.status(row)
                 if status is not None and status.leads and status.term >= least_term:
                     return Leading(moving.successor, status.term)
-                await trio.sleep(LEADS_LOOK_S)
+                await trio.sleep(LEADS_POLL_S)
         self._state.log.event("successor_does_not_lead", endpoint=moving.successor)
         return None
--- a/wharftiller/daemons/sessions/leadership/verification.py
+++ b/wharftiller/daemons/sessions/leadership/verification.py
@@ -22,7 +22,7 @@
     from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
     from wharftiller.daemons.sessions.state import SharedState
 
-ASK_AGAIN_S = 1.0
+RETRY_S = 1.0
 """Time between questions to the endpoints of a group whose primary is doubted, in seconds.
 
 Each takes a slot of every endpoint; one that comes back is seen soon enough.
@@ -79,7 +79,7 @@
         now = trio.current_time()
         unverified_s = now - self._since - turn * RANK_DELAY_S
         asked_s = now - self._asked_at.get(group, -math.inf)
-        if unverified_s < ORDERS_EFFECT_S or asked_s < ASK_AGAIN_S:
+        if unverified_s < ORDERS_EFFECT_S or asked_s < RETRY_S:
             return None
         self._asked_at[group] = now
         statuses = await self._successors.statuses(group)
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -31,7 +31,7 @@
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.edges.transport import Transport
 
-MOST_NAMED = 8
+MAX_NAMED = 8
 """Boxes that one line of the log names; all are counted."""
 
 ASKED_AGAIN = 2
@@ -143,9 +143,9 @@
         if new or gone:
             self._state.log.change(
                 "boxes_listed",
-                new=sorted(new)[:MOST_NAMED],
+                new=sorted(new)[:MAX_NAMED],
                 new_count=len(new),
-                gone=sorted(gone)[:MOST_NAMED],
+                gone=sorted(gone)[:MAX_NAMED],
                 gone_count=len(gone),
                 listed=listed,
             )
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -16,7 +16,7 @@
     from wharftiller.daemons.sessions.serving.callers import SessionServer
     from wharftiller.daemons.sessions.state import SharedState
 
-LOOK_S = 0.1
+POLL_S = 0.1
 """Time between looks at whether the groups can be served, in seconds."""
 
 ASKED_ELSEWHERE = 2
@@ -45,7 +45,7 @@
     async def run(self) -> None:
         """Look for ever."""
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_S)
             await self._look()
 
     async def _look(self) -> None:
--- a/wharftiller/daemons/sessions/membership/peer_sync.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -28,10 +28,10 @@
 none does, all boxes wait for this.
 """
 
-LEARN_AGAIN_S = 0.5
+SYNC_RETRY_S = 0.5
 """Time between questions to neighbours while nothing is configured, in seconds."""
 
-CURRENT_PART = 0.6
+CURRENT_FRACTION = 0.6
 """What is left beside a box's own list of a configuration (0.4), as such a part."""
 
 CURRENT_LESS_S = 1.0
@@ -41,7 +41,7 @@
 box that starts lists for itself, and still has the configuration in force in time.
 """
 
-FETCH_PART = 0.3
+FETCH_FRACTION = 0.3
 """Time for a fetch, as a part of that within which a configuration is in force.
 
 With a reader's pause (0.27) and the second until its box asks it, a third of 3 s, something
@@ -73,8 +73,8 @@
         self._directory = directory
         self._seeds = seeds
         self._decode_configuration = decode_configuration
-        self._fetch_timeout_s = FETCH_PART * bounds.configuration_in_force_s
-        self._current_age_s = CURRENT_PART * bounds.configuration_in_force_s - CURRENT_LESS_S
+        self._fetch_timeout_s = FETCH_FRACTION * bounds.configuration_in_force_s
+        self._current_age_s = CURRENT_FRACTION * bounds.configuration_in_force_s - CURRENT_LESS_S
         self._read_at = -math.inf
         self._nursery = nursery
         self._fetching = False
@@ -139,7 +139,7 @@
             await self._learn_from_seeds()
         self.asked_at_start.set()
         while not self.has_learned:
-            await trio.sleep(LEARN_AGAIN_S)
+            await trio.sleep(SYNC_RETRY_S)
             await self._learn_from_seeds()
 
     async def _learn_from_seeds(self) -> None:
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -32,10 +32,10 @@
 FEEDS_WAIT_S = 1.0
 """Time for the first read of the platform before feeds are followed all the same, in seconds."""
 
-LOOK_S = 0.1
+POLL_S = 0.1
 """Time between looks at whether to read again, in seconds."""
 
-FEEDS_LOOK_S = 0.25
+WATCHES_POLL_S = 0.25
 """Time between looks at whether to follow the feeds, in seconds: a quarter of a round's pause."""
 
 
@@ -94,7 +94,7 @@
             started = trio.current_time()
             await self._read()
             while not read_is_due(self._view(started), self._pace):
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_S)
 
     def _view(self, tried_at: float) -> ReadScheduleInputs:
         now = trio.current_time()
@@ -116,7 +116,7 @@
             age_s = trio.current_time() - self._started_at
             if self._directory.platform_answers or age_s > FEEDS_WAIT_S:
                 self._feeds.follow(self._should_follow())
-            await trio.sleep(FEEDS_LOOK_S)
+            await trio.sleep(WATCHES_POLL_S)
 
     def _should_follow(self) -> bool:
         """Return whether to follow the platform's changes, as nobody tells this box of them."""
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.core.sessions.connection_limits import ConnectionLimiter
-from wharftiller.core.sessions.retry_after import LEAST_S
+from wharftiller.core.sessions.retry_after import MIN_RETRY_AFTER_S
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -99,7 +99,7 @@
 
     def refusal(self) -> str:
         """Return what a caller that was not taken is told: the next try reaches another box."""
-        return f"{len(self)} sessions are open here; come back in {LEAST_S * 1000:.0f} ms"
+        return f"{len(self)} sessions are open here; come back in {MIN_RETRY_AFTER_S * 1000:.0f} ms"
 
     def rests(self, caller: CallerConnection) -> None:
         """Note that a session waits for its caller, outside any transaction."""
--- a/wharftiller/daemons/sessions/serving/drain.py
+++ b/wharftiller/daemons/sessions/serving/drain.py
@@ -15,7 +15,7 @@
 LAST_MOMENT_S = 0.5
 """Time kept before the platform kills a stopping process, in seconds."""
 
-DRAIN_LOOK_S = 0.05
+DRAIN_POLL_S = 0.05
 """Time between looks at whether all sessions have ended, in seconds."""
 
 
@@ -44,4 +44,4 @@
 
     async def _until_ended(self, until: float) -> None:
         while (self._sessions.count or self._for_others.count) and trio.current_time() < until:
-            await trio.sleep(DRAIN_LOOK_S)
+            await trio.sleep(DRAIN_POLL_S)
--- a/wharftiller/daemons/sessions/serving/endpoint_selection.py
+++ b/wharftiller/daemons/sessions/serving/endpoint_selection.py
@@ -8,7 +8,7 @@
 
 from wharftiller.core.errors import EndpointRefusedError, ExchangeError
 from wharftiller.core.sessions.retry_after import (
-    SOON_S,
+    SHORT_RETRY_AFTER_S,
     Cause,
     primary_retry_after_s,
     queue_retry_after_s,
@@ -142,7 +142,9 @@
                 after_s = queue_retry_after_s(error.queue_s)
                 raise NoCapacityError(str(error), Cause.QUEUE, after_s) from error
             if error.at_limit:
-                raise NoCapacityError(str(error), Cause.ENDPOINT_FULL, SOON_S) from error
+                raise NoCapacityError(
+                    str(error), Cause.ENDPOINT_FULL, SHORT_RETRY_AFTER_S
+                ) from error
             raise StatementRefusedError(
                 RefusalKind.NO_CAPACITY, str(error), Cause.ENDPOINT_REFUSED
             ) from error
--- a/wharftiller/daemons/sessions/serving/read_timeouts.py
+++ b/wharftiller/daemons/sessions/serving/read_timeouts.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-LOOK_S = 0.05
+POLL_S = 0.05
 """Time between looks at reads that take long, in seconds: well below any route's time-out."""
 
 
@@ -62,7 +62,7 @@
         """Look for ever, while reads wait."""
         while True:
             await self._somebody_waits.wait()
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_S)
             now = trio.current_time()
             for waiting in list(self._waiting):
                 if now >= waiting.patient_until and waiting.another_can():
--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from wharftiller.core.sessions.retry_after import SOON_S, retry_after_s
+from wharftiller.core.sessions.retry_after import SHORT_RETRY_AFTER_S, retry_after_s
 from wharftiller.core.sessions.statements import (
     Access,
     Commit,
@@ -56,7 +56,11 @@
     """
 
     def __init__(
-        self, kind: RefusalKind, why: str, cause: Cause | None = None, after_s: float = SOON_S
+        self,
+        kind: RefusalKind,
+        why: str,
+        cause: Cause | None = None,
+        after_s: float = SHORT_RETRY_AFTER_S,
     ) -> None:
         super().__init__(why)
         self.kind = kind
--- a/wharftiller/edges/allowances_json.py
+++ b/wharftiller/edges/allowances_json.py
@@ -11,7 +11,7 @@
 from wharftiller.core.sessions.workspaces import Workspace
 from wharftiller.edges.forwarded_json import workspace_from_json, workspace_to_json
 
-MOST_LENT = 1e12
+MAX_LENT = 1e12
 """A loan of more operations is nonsense."""
 
 
@@ -99,7 +99,7 @@
         )
     except (KeyError, TypeError, ValueError) as error:
         raise BadRequestError(f"no loan is asked for: {error!r}; run one version") from None
-    if workspace is None or not 0 <= held < MOST_LENT:
+    if workspace is None or not 0 <= held < MAX_LENT:
         raise BadRequestError("a question for a loan names a workspace and what is held of it")
     return workspace, question
 
--- a/wharftiller/edges/http_client.py
+++ b/wharftiller/edges/http_client.py
@@ -14,7 +14,7 @@
 from wharftiller.edges.http_server import READ_BYTES
 from wharftiller.edges.transport import Transport, close_now
 
-MOST_DECOMPRESSED = 16 * 1024 * 1024
+MAX_DECOMPRESSED = 16 * 1024 * 1024
 """Bytes that a compressed answer may have: a configuration has at most one million."""
 
 SENT_AGAIN = ("GET", "PUT")
@@ -68,7 +68,7 @@
     def _plain_body(self) -> bytes:
         if self.headers.get("content-encoding") != "deflate":
             return self.body
-        return zlib.decompressobj().decompress(self.body, MOST_DECOMPRESSED)
+        return zlib.decompressobj().decompress(self.body, MAX_DECOMPRESSED)
 
 
 class HttpConnection:
--- a/wharftiller/platform/callers.py
+++ b/wharftiller/platform/callers.py
@@ -35,7 +35,7 @@
 REFUSED_GREETING_S = 0.3
 """Time that a caller for whom there is no room has to speak, in seconds."""
 
-MOST_BEING_REFUSED = 32
+MAX_BEING_REFUSED = 32
 """Callers waited for before they are refused; beyond it they are closed without a word, so that a
 crowd takes few descriptors from the box."""
 
@@ -93,7 +93,7 @@
 
     async def _refuse_full(self, stream: trio.abc.Stream, reader: LineReader) -> None:
         """Refuse a caller once it has spoken: closing before that resets what it is told."""
-        if self._being_refused >= MOST_BEING_REFUSED:
+        if self._being_refused >= MAX_BEING_REFUSED:
             return
         self._being_refused += 1
         try:
--- a/wharftiller/platform/settings.py
+++ b/wharftiller/platform/settings.py
@@ -26,7 +26,7 @@
 MS = 0.001
 """One of the platform's milliseconds, in seconds."""
 
-LEAST_QUOTA_WINDOW_S = 0.1
+MIN_QUOTA_WINDOW_S = 0.1
 """A shorter window for counting operations is taken for a mistake in its unit, in seconds."""
 
 
@@ -164,7 +164,7 @@
             f" this box's {value['Zone']} among them, as the platform states it"
         )
     return AllowanceBounds(
-        window_s=number("QuotaWindowS", LEAST_QUOTA_WINDOW_S, defaults.window_s),
+        window_s=number("QuotaWindowS", MIN_QUOTA_WINDOW_S, defaults.window_s),
         overrun=number("QuotaOverrun", 0.0, defaults.overrun),
         slack=number("QuotaSlack", 0.0, defaults.slack),
         centres=centres,
--- a/wharftiller/platform/watches.py
+++ b/wharftiller/platform/watches.py
@@ -26,13 +26,13 @@
     from wharftiller.edges.http_client import HttpClient
     from wharftiller.platform.store import ObjectStore, StoredObject
 
-AGAIN_S = 0.4
+RETRY_S = 0.4
 """Time before a failed watch or list is asked for again, in seconds; doubles each time."""
 
-AGAIN_MOST_S = 1.6
+MAX_RETRY_S = 1.6
 """Longest time between tries while the platform is away, in seconds."""
 
-LIST_PART = 0.4
+LIST_FRACTION = 0.4
 """Time for a list, as a part of that within which a configuration is in force.
 
 A configuration of thousands of routes takes a slow link longer than other calls may take.
@@ -93,7 +93,7 @@
     async def run(self) -> None:
         """Follow for ever."""
         client = self._store.new_client()
-        pause_s = AGAIN_S
+        pause_s = RETRY_S
         objects: Objects | None = None
         while True:
             if not self.wanted:
@@ -108,11 +108,11 @@
                 if self._watching.cancelled_caught:
                     objects = None
                 self._watching = None
-                pause_s = AGAIN_S
+                pause_s = RETRY_S
             except PlatformUnavailableError as error:
                 self._log.event("watch_failed", kind=self._kind, why=str(error))
                 await trio.sleep(pause_s)
-                pause_s = min(AGAIN_MOST_S, pause_s * 2)
+                pause_s = min(MAX_RETRY_S, pause_s * 2)
 
     async def _list(self, client: HttpClient) -> Objects:
         followed_before = self._revision > 0
@@ -187,7 +187,7 @@
         self._log = log
         self._nursery: trio.Nursery | None = None
         self._account = RevisionTracker()
-        list_s = LIST_PART * bounds.configuration_in_force_s
+        list_s = LIST_FRACTION * bounds.configuration_in_force_s
         kinds = [
             (CONFIGURATION_KIND, self._take_configuration),
             (ENDPOINT_KIND, self._take_endpoints),
--- a/wharftiller/tests/core/leadership/test_lease.py
+++ b/wharftiller/tests/core/leadership/test_lease.py
@@ -16,7 +16,12 @@
     RenewalReply,
     holds_no_lease,
 )
-from wharftiller.core.leadership.record import LOST_MOST, FailingOver, LeadershipRecord, Leading
+from wharftiller.core.leadership.record import (
+    MAX_LOST_UPDATES,
+    FailingOver,
+    LeadershipRecord,
+    Leading,
+)
 from wharftiller.tests.core.leadership import histories
 from wharftiller.tests.core.leadership.histories import play
 from wharftiller.tests.core.leadership.weak_table import Rules
@@ -294,8 +299,8 @@
         stood = attrs.evolve(record(2_000, Leading("one")), updates=7)
         first = stood.confirmed_at(1_000_000, ())
         again = stood.confirmed_at(2_000_000, ())
-        assert again.fence - first.fence > LOST_MOST
-        assert again.updates - first.updates > LOST_MOST
+        assert again.fence - first.fence > MAX_LOST_UPDATES
+        assert again.updates - first.updates > MAX_LOST_UPDATES
 
     def test_a_silent_box_delays_the_confirmation(self, table: LeaseTable) -> None:
         table.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
--- a/wharftiller/tests/core/sessions/allowances/test_shares.py
+++ b/wharftiller/tests/core/sessions/allowances/test_shares.py
@@ -5,10 +5,10 @@
 import pytest
 
 from wharftiller.core.sessions.allowances.shares import (
-    ASK_AGAIN_S,
     HANDED_OVER_S,
-    LENDABLE_PART,
+    LENDABLE_FRACTION,
     LOAN_S,
+    RETRY_S,
     AllowanceShare,
     LoanReply,
     LoanRequest,
@@ -38,7 +38,7 @@
         lender = share()
         for _ in range(3):
             lent = lender.lend(asked(), unused=OWN, now=0.0).lent
-        assert lent == pytest.approx(OWN * LENDABLE_PART / 2)
+        assert lent == pytest.approx(OWN * LENDABLE_FRACTION / 2)
 
     def test_asked_again_it_tells_the_same_loan(self) -> None:
         lender = share()
@@ -77,7 +77,7 @@
 
 class TestTakingOver:
     def test_what_may_have_been_lent_counts_as_lent(self) -> None:
-        assert share(since=0.0).amount(1.0) == pytest.approx(OWN * (1 - LENDABLE_PART))
+        assert share(since=0.0).amount(1.0) == pytest.approx(OWN * (1 - LENDABLE_FRACTION))
 
     def test_the_others_answers_settle_it(self) -> None:
         keeper = share(since=0.0)
@@ -99,8 +99,8 @@
         keeper = share()
         assert keeper.wants(True, 0.0)
         keeper.questions("a", "box-a", True, 0.0)
-        assert not keeper.wants(True, ASK_AGAIN_S / 2)
-        assert keeper.wants(True, ASK_AGAIN_S)
+        assert not keeper.wants(True, RETRY_S / 2)
+        assert keeper.wants(True, RETRY_S)
 
     def test_a_loan_is_renewed_before_it_ends(self) -> None:
         keeper = share()
--- a/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
+++ b/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
@@ -13,13 +13,13 @@
     token_server_order,
 )
 from wharftiller.core.sessions.allowances.bounds import (
-    LEAST_BURST,
+    MIN_BURST,
     TOKEN_LIFE_S,
     BucketSize,
     bucket_size,
     own_share,
 )
-from wharftiller.core.sessions.allowances.buckets import MOST_AHEAD_S, TokenBucket
+from wharftiller.core.sessions.allowances.buckets import MAX_AHEAD_S, TokenBucket
 from wharftiller.core.sessions.allowances.shares import AllowanceShare, Loan
 from wharftiller.core.sessions.allowances.token_allocator import (
     FIRST_TOKENS,
@@ -117,7 +117,7 @@
         assert worst_of(Story(LARGE)) > 1.0
 
     def test_granting_more_than_the_bound_goes_over(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(rules, "GRANTED_PART", 1.25)
+        monkeypatch.setattr(rules, "GRANTED_FRACTION", 1.25)
         assert worst_of(OFTEN_RESTARTED) > 1.0
 
     def test_granting_in_full_beside_a_slow_keeper_goes_over(
@@ -165,11 +165,11 @@
 
     def test_nobody_is_told_to_come_back_after_the_longest_time(self) -> None:
         bucket = TokenBucket(BucketSize(0.1, 1.0, 99.0, SPAN_S), 0.0, 0.0)
-        assert max(bucket.next_in_s(0.0) for _ in range(50)) <= MOST_AHEAD_S
+        assert max(bucket.next_in_s(0.0) for _ in range(50)) <= MAX_AHEAD_S
 
     def test_without_any_rate_there_is_no_sooner_time(self) -> None:
         assert (
-            TokenBucket(BucketSize(0.0, 0.0, 0.0, SPAN_S), 0.0, 0.0).next_in_s(0.0) == MOST_AHEAD_S
+            TokenBucket(BucketSize(0.0, 0.0, 0.0, SPAN_S), 0.0, 0.0).next_in_s(0.0) == MAX_AHEAD_S
         )
 
 
@@ -247,7 +247,7 @@
         keeper.note_probe(self.FIRST, ProbeOutcome.REFUSED, 0.0)
         keeper.grant(self.RILA, 1, 0, 0.0)
         later = SILENCE_S + 0.1
-        assert keeper.grant(self.RILA, 100, 0, later + 60.0).tokens <= LEAST_BURST
+        assert keeper.grant(self.RILA, 100, 0, later + 60.0).tokens <= MIN_BURST
 
     def test_a_box_that_is_not_listed_grants_little(self) -> None:
         history = TokenServerHistory("one")
--- a/wharftiller/tests/core/sessions/test_connection_limits.py
+++ b/wharftiller/tests/core/sessions/test_connection_limits.py
@@ -6,7 +6,7 @@
 
 from wharftiller.core.sessions.connection_limits import (
     CALLERS_FLOOR,
-    GROWTH_MOST,
+    MAX_GROWTH,
     MIN_HANDSHAKE_S,
     MIN_IDLE_S,
     OWN_FLOOR,
@@ -46,7 +46,7 @@
 
     def test_the_box_may_double_what_it_holds_before_callers_are_in_its_way(self) -> None:
         limits = BoxLimits(8_192, FILES, 10_000)
-        assert limits.connections - room_for_callers(limits, 300) - 300 >= GROWTH_MOST
+        assert limits.connections - room_for_callers(limits, 300) - 300 >= MAX_GROWTH
 
     def test_memory_bounds_the_room_where_descriptors_do_not(self) -> None:
         assert room_for_callers(BoxLimits(8_192, FILES, 152), 60) == 896
--- a/wharftiller/tests/core/sessions/test_gateways.py
+++ b/wharftiller/tests/core/sessions/test_gateways.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from wharftiller.core.sessions.gateways import LEAST_SHARE, gateways_of, plan_gateways
-from wharftiller.core.sessions.shares import KEPT_PART, connection_share, most_connections
+from wharftiller.core.sessions.gateways import MIN_SHARE, gateways_of, plan_gateways
+from wharftiller.core.sessions.shares import KEPT_DIVISOR, connection_share, most_connections
 
 
 class TestKept:
     @pytest.mark.parametrize(("limit", "boxes"), [(23, 9), (38, 8), (283, 72), (53, 6)])
     def test_as_many_connections_are_free_as_are_kept(self, limit: int, boxes: int) -> None:
         """Those of boxes that lost power linger while all boxes connect again."""
-        assert connection_share(limit, boxes) * boxes * KEPT_PART <= limit
+        assert connection_share(limit, boxes) * boxes * KEPT_DIVISOR <= limit
 
 
 class TestPlan:
@@ -24,7 +24,7 @@
     ) -> None:
         plan = plan_gateways(limit, boxes, centres)
         assert plan.gateways is None
-        assert most_connections(limit, boxes) >= LEAST_SHARE
+        assert most_connections(limit, boxes) >= MIN_SHARE
         assert plan.share * boxes <= limit
 
     @pytest.mark.parametrize("limit", [10, 23, 53, 100])
--- a/wharftiller/tests/core/sessions/test_isolation.py
+++ b/wharftiller/tests/core/sessions/test_isolation.py
@@ -7,7 +7,7 @@
 
 from wharftiller.core.sessions.isolation import (
     BALANCER_SEES_S,
-    ISOLATED_MOST_S,
+    MAX_ISOLATED_S,
     Begin,
     End,
     Isolation,
@@ -64,14 +64,14 @@
 
     def test_where_all_are_silent_it_lasts(self) -> None:
         isolation = isolated()
-        assert isinstance(isolation.decide(later(ISOLATED_MOST_S + 1)), ShedSessions)
-        assert isolation.decide(later(ISOLATED_MOST_S + 9)) == Unchanged()
+        assert isinstance(isolation.decide(later(MAX_ISOLATED_S + 1)), ShedSessions)
+        assert isolation.decide(later(MAX_ISOLATED_S + 9)) == Unchanged()
 
     def test_who_hears_a_further_data_centre_waits_only_a_while(self) -> None:
         isolation = isolated()
         further = frozenset({"b", "c", "d"})
-        assert isolation.decide(later(ISOLATED_MOST_S + 1, elsewhere=further)) == End()
-        assert isolation.decide(later(ISOLATED_MOST_S + 2, elsewhere=further)) == Unchanged()
+        assert isolation.decide(later(MAX_ISOLATED_S + 1, elsewhere=further)) == End()
+        assert isolation.decide(later(MAX_ISOLATED_S + 2, elsewhere=further)) == Unchanged()
 
 
 class TestSessions:
--- a/wharftiller/tests/core/sessions/test_retry_after.py
+++ b/wharftiller/tests/core/sessions/test_retry_after.py
@@ -8,8 +8,8 @@
 from wharftiller.core.leadership.lease import LEASE_S, UNSETTLED_S
 from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 from wharftiller.core.sessions.retry_after import (
-    LEAST_S,
-    MOST_S,
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
     SPREAD,
     Cause,
     PrimaryAvailability,
@@ -62,6 +62,8 @@
     def test_the_same_request_is_told_the_same(self) -> None:
         assert retry_after_s(1.0, "one") == retry_after_s(1.0, "one")
 
-    @pytest.mark.parametrize(("after_s", "bound_s"), [(-3.0, LEAST_S), (100.0, MOST_S)])
+    @pytest.mark.parametrize(
+        ("after_s", "bound_s"), [(-3.0, MIN_RETRY_AFTER_S), (100.0, MAX_RETRY_AFTER_S)]
+    )
     def test_the_time_stays_within_sense(self, after_s: float, bound_s: float) -> None:
         assert abs(retry_after_s(after_s, "one") - bound_s) <= SPREAD * bound_s
--- a/wharftiller/tests/core/sessions/test_revisions.py
+++ b/wharftiller/tests/core/sessions/test_revisions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wharftiller.core.sessions.revisions import MOST_COUNTED, RevisionTracker
+from wharftiller.core.sessions.revisions import MAX_COUNTED, RevisionTracker
 
 
 def settled_at(revision: int, **entries: int) -> RevisionTracker:
@@ -50,6 +50,6 @@
 
     def test_a_jump_counts_as_missed(self) -> None:
         account = settled_at(7)
-        revision = 8 + MOST_COUNTED
+        revision = 8 + MAX_COUNTED
         account.saw(range(8, revision + 1))
         assert account.misses(revision)
--- a/wharftiller/tests/core/sessions/test_wait_limits.py
+++ b/wharftiller/tests/core/sessions/test_wait_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wharftiller.core.sessions.wait_limits import LATE_PART, QUEUED_PART, wait_limit
+from wharftiller.core.sessions.wait_limits import LATE_FRACTION, QUEUED_FRACTION, wait_limit
 
 GOAL_S = 0.4
 
@@ -12,7 +12,7 @@
 class TestWaitLimit:
     def test_time_to_run_is_left(self) -> None:
         limit = wait_limit(arrived_at=10.0, goal_s=GOAL_S, now=10.0)
-        assert limit.begun_until == pytest.approx(10.0 + QUEUED_PART * GOAL_S)
+        assert limit.begun_until == pytest.approx(10.0 + QUEUED_FRACTION * GOAL_S)
         assert limit.until == pytest.approx(10.0 + GOAL_S)
 
     def test_what_it_waited_elsewhere_counts(self) -> None:
@@ -21,4 +21,4 @@
 
     def test_who_was_held_for_long_waits_a_moment(self) -> None:
         limit = wait_limit(arrived_at=10.0, goal_s=GOAL_S, now=11.0)
-        assert limit.begun_until == limit.until == pytest.approx(11.0 + LATE_PART * GOAL_S)
+        assert limit.begun_until == limit.until == pytest.approx(11.0 + LATE_FRACTION * GOAL_S)
--- a/wharftiller/tests/daemons/test_real_processes.py
+++ b/wharftiller/tests/daemons/test_real_processes.py
@@ -26,7 +26,7 @@
 DONE_WITHIN_S = 90.0
 """Time within which a booking is done on a machine of any load, in seconds."""
 
-LOOK_AGAIN_S = 0.1
+RECHECK_S = 0.1
 """Time between tries, in seconds."""
 
 BIN = Path(sys.executable).parent
@@ -112,7 +112,7 @@
             if answer["outcome"] == "done":
                 return answer
             attempt += answer["outcome"] == "not_run"
-            await trio.sleep(LOOK_AGAIN_S)
+            await trio.sleep(RECHECK_S)
 
 
 async def tourists(demo: Demo, box: str, session: str) -> Any:
@@ -129,7 +129,7 @@
             )
             if answer["outcome"] == "done":
                 return answer["result"]
-            await trio.sleep(LOOK_AGAIN_S)
+            await trio.sleep(RECHECK_S)
 
 
 class TestRealProcesses:
--- a/wharftiller/tests/platform/test_isolation.py
+++ b/wharftiller/tests/platform/test_isolation.py
@@ -5,7 +5,7 @@
 import trio
 
 from standins.object_store import StoreMode
-from wharftiller.core.sessions.isolation import BALANCER_SEES_S, ISOLATED_MOST_S
+from wharftiller.core.sessions.isolation import BALANCER_SEES_S, MAX_ISOLATED_S
 from wharftiller.tests.platform.world import STORE_IP, World, make_group, run_in_world
 
 SEEN_S = 2.2
@@ -75,7 +75,7 @@
 
         async def story(world: World) -> None:
             cut_off_data_centre(world, 0)
-            await trio.sleep(SEEN_S + ISOLATED_MOST_S + 0.5)
+            await trio.sleep(SEEN_S + MAX_ISOLATED_S + 0.5)
             assert ready_boxes(world) == ["box-1", "box-2", "box-3"]
             await trio.sleep(6)
             assert "box-2" in ready_boxes(world)
--- a/wharftiller/tests/platform/test_restored_platform.py
+++ b/wharftiller/tests/platform/test_restored_platform.py
@@ -13,7 +13,7 @@
 from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 from wharftiller.core.sessions.statements import EndpointStatus
 from wharftiller.daemons.sessions.leadership.successors import SuccessorFinder
-from wharftiller.daemons.sessions.leadership.verification import ASK_AGAIN_S
+from wharftiller.daemons.sessions.leadership.verification import RETRY_S
 from wharftiller.daemons.sessions.membership import readers
 from wharftiller.platform.objects import OWN_KIND, RECORD_NAME
 from wharftiller.platform.store import ERA_REVISIONS, ObjectStore
@@ -210,7 +210,7 @@
             assert asked
             for times in asked.values():
                 assert min(times) >= started_at + ORDERS_EFFECT_S
-                assert all(b - a >= ASK_AGAIN_S for a, b in itertools.pairwise(times))
+                assert all(b - a >= RETRY_S for a, b in itertools.pairwise(times))
 
         run_in_world(story)
 
