--- a/wharftiller/core/configuration_changes.py
+++ b/wharftiller/core/configuration_changes.py
@@ -105,18 +105,18 @@
         return attrs.evolve(merged, base=old.generation)
 
 
-def _merge(first: ConfigurationChange, then: ConfigurationChange) -> ConfigurationChange:
-    groups = {**first.groups, **then.groups}
-    pools = {**first.pools, **then.pools}
-    for name in then.removed_groups:
+def _merge(earlier: ConfigurationChange, later: ConfigurationChange) -> ConfigurationChange:
+    groups = {**earlier.groups, **later.groups}
+    pools = {**earlier.pools, **later.pools}
+    for name in later.removed_groups:
         groups.pop(name, None)
-    for name in then.removed_pools:
+    for name in later.removed_pools:
         pools.pop(name, None)
-    removed_groups = {*first.removed_groups, *then.removed_groups} - set(groups)
-    removed_pools = {*first.removed_pools, *then.removed_pools} - set(pools)
+    removed_groups = {*earlier.removed_groups, *later.removed_groups} - set(groups)
+    removed_pools = {*earlier.removed_pools, *later.removed_pools} - set(pools)
     return ConfigurationChange(
-        first.base,
-        then.generation,
+        earlier.base,
+        later.generation,
         groups,
         pools,
         tuple(sorted(removed_groups)),
--- a/wharftiller/core/detection.py
+++ b/wharftiller/core/detection.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from wharftiller.core.watch_tables import Wish
+from wharftiller.core.watch_tables import PlannedFailover
 
 if TYPE_CHECKING:
     from wharftiller.core.watch_tables import WatchedGroup, WatchTables
@@ -19,7 +19,7 @@
 """A planned change waits for its target; it is not begun with one further behind."""
 
 
-def _heard(tables: WatchTables, name: str, now: float) -> bool:
+def _is_reachable(tables: WatchTables, name: str, now: float) -> bool:
     server = tables.servers[name]
     recent_s = tables.detect_s * RECENT_FRACTION
     return server.report is not None and now - server.last_contact_at <= recent_s
@@ -33,40 +33,48 @@
     delay : float
         Time by which this steward holds back so that another acts first, in seconds.
     """
-    silent_s = now - group.led_at
-    leads = group.primary if silent_s <= tables.detect_s * RECENT_FRACTION else None
-    heard = [name for name in group.names if name != leads and _heard(tables, name, now)]
-    if len(heard) < MAJORITY:
+    silent_s = now - group.last_led_at
+    answering_primary = group.primary if silent_s <= tables.detect_s * RECENT_FRACTION else None
+    reachable = [
+        name
+        for name in group.names
+        if name != answering_primary and _is_reachable(tables, name, now)
+    ]
+    if len(reachable) < MAJORITY:
         return False
-    cut_off = [name for name in heard if _lost_its_primary(tables, name)]
-    if len(cut_off) == len(heard):
-        return silent_s >= tables.detect_s + delay or _all_cut_off(tables, group, heard, delay)
+    without_primary = [name for name in reachable if _misses_primary(tables, name)]
+    if len(without_primary) == len(reachable):
+        return silent_s >= tables.detect_s + delay or _all_miss_primary(
+            tables, group, reachable, delay
+        )
     return silent_s >= 3 * tables.detect_s + delay
 
 
-def _lost_its_primary(tables: WatchTables, name: str) -> bool:
+def _misses_primary(tables: WatchTables, name: str) -> bool:
     report = tables.servers[name].report
     return (
         report is not None and report.primary_silent_ms >= tables.detect_s * RECENT_FRACTION * 1000
     )
 
 
-def _all_cut_off(tables: WatchTables, group: WatchedGroup, heard: list[str], delay: float) -> bool:
+def _all_miss_primary(
+    tables: WatchTables, group: WatchedGroup, reachable: list[str], delay: float
+) -> bool:
     """Return whether no replica hears the primary any more, though this box may."""
     if group.primary is None:
         return False
-    longest = (2 * tables.detect_s + delay) * 1000
-    reports = [tables.servers[name].report for name in heard]
+    min_silent_ms = (2 * tables.detect_s + delay) * 1000
+    reports = [tables.servers[name].report for name in reachable]
     return all(
         report is not None
         and report.settled
         and report.log_term == group.term
-        and report.primary_silent_ms >= longest
+        and report.primary_silent_ms >= min_silent_ms
         for report in reports
     )
 
 
-def wanted_change(tables: WatchTables, group: WatchedGroup) -> Wish | None:
+def find_planned_failover(tables: WatchTables, group: WatchedGroup) -> PlannedFailover | None:
     """Return the change of primary that an operator or a leaving endpoint asks for."""
     primary = tables.server(group.primary)
     if primary is None or primary.report is None:
@@ -76,11 +84,11 @@
         if wanted.endpoint == group.primary:
             group.done_plans.add(wanted.plan)
         elif _may_lead(tables, group, wanted.endpoint):
-            return Wish(wanted.endpoint, wanted.plan)
+            return PlannedFailover(wanted.endpoint, wanted.plan)
     if primary.leaving or primary.report.leaving:
         targets = [name for name in group.names if _may_lead(tables, group, name)]
         if targets:
-            return Wish(max(targets, key=lambda name: _position(tables, name)), "")
+            return PlannedFailover(max(targets, key=lambda name: _position(tables, name)), "")
     return None
 
 
@@ -94,5 +102,5 @@
     report = server.report
     if name == group.primary or server.leaving or report is None or report.leaving:
         return False
-    close = _position(tables, group.primary or "") - report.position <= TARGET_LAG_RECORDS
-    return report.settled and report.log_term == group.term and close
+    is_close = _position(tables, group.primary or "") - report.position <= TARGET_LAG_RECORDS
+    return report.settled and report.log_term == group.term and is_close
--- a/wharftiller/core/intents.py
+++ b/wharftiller/core/intents.py
@@ -121,37 +121,43 @@
             _expect_new("group", group.name, groups)
             groups[group.name] = group
         case RemoveGroup(name):
-            _known("group", name, groups)
+            _require_known("group", name, groups)
             _expect_unused(name, pools)
             del groups[name]
         case CreatePool(pool):
             _expect_new("pool", pool.name, pools)
             pools[pool.name] = pool
         case ChangePool():
-            pools[intent.name] = _changed_pool(_known("pool", intent.name, pools), intent)
+            pools[intent.name] = _apply_pool_change(
+                _require_known("pool", intent.name, pools), intent
+            )
         case RemovePool(name):
-            _known("pool", name, pools)
+            _require_known("pool", name, pools)
             del pools[name]
         case ChangePrimary(name, endpoint):
-            group = _known("group", name, groups)
+            group = _require_known("group", name, groups)
             _expect_endpoint(group, endpoint)
             groups[name] = attrs.evolve(group, wanted_primary=WantedPrimary(endpoint, plan))
         case DrainEndpoint(name, endpoint):
-            groups[name] = _with_leaving(_known("group", name, groups), endpoint, leaving=True)
+            groups[name] = _with_leaving(
+                _require_known("group", name, groups), endpoint, leaving=True
+            )
         case ReturnEndpoint(name, endpoint):
-            groups[name] = _with_leaving(_known("group", name, groups), endpoint, leaving=False)
+            groups[name] = _with_leaving(
+                _require_known("group", name, groups), endpoint, leaving=False
+            )
     return Configuration(configuration.generation, pools, groups)
 
 
-def _expect_new(what: str, name: str, existing: dict[str, Any]) -> None:
+def _expect_new(kind: str, name: str, existing: dict[str, Any]) -> None:
     if name in existing:
-        raise ConfigurationError(f"{what} {name!r} exists already. Change it, or pick another name")
+        raise ConfigurationError(f"{kind} {name!r} exists already. Change it, or pick another name")
 
 
-def _known(what: str, name: str, existing: dict[str, Any]) -> Any:
+def _require_known(kind: str, name: str, existing: dict[str, Any]) -> Any:
     if name not in existing:
         raise ConfigurationError(
-            f"{what} {name!r} is not configured; known are {sorted(existing)}. Check the spelling"
+            f"{kind} {name!r} is not configured; known are {sorted(existing)}. Check the spelling"
         )
     return existing[name]
 
@@ -179,15 +185,15 @@
     return attrs.evolve(group, endpoints=endpoints)
 
 
-def _changed_pool(pool: PoolSpec, change: ChangePool) -> PoolSpec:
-    moved = sorted(
+def _apply_pool_change(pool: PoolSpec, change: ChangePool) -> PoolSpec:
+    misplaced = sorted(
         name
         for name, group in change.add_businesses.items()
         if pool.businesses.get(name, group) != group
     )
-    if moved:
+    if misplaced:
         raise ConfigurationError(
-            f"businesses {moved} have rows on another group, which would be left behind. "
+            f"businesses {misplaced} have rows on another group, which would be left behind. "
             "Leave them where they are"
         )
     businesses = {**pool.businesses, **change.add_businesses}
@@ -219,10 +225,10 @@
             for number, (left, right) in enumerate(zip(old, new, strict=True))
             for line in differences(left, right, f"{path}[{number}]")
         ]
-    return [f"{path}: {_short(old)} -> {_short(new)}"]
+    return [f"{path}: {_short_text(old)} -> {_short_text(new)}"]
 
 
-def _short(value: Any) -> str:
+def _short_text(value: Any) -> str:
     match value:
         case None:
             return "nothing"
--- a/wharftiller/core/promotion.py
+++ b/wharftiller/core/promotion.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from wharftiller.core.detection import MAJORITY, primary_is_lost, wanted_change
+from wharftiller.core.detection import MAJORITY, find_planned_failover, primary_is_lost
 from wharftiller.core.messages import Role
 from wharftiller.core.steward_messages import (
     GiveOrder,
@@ -28,6 +28,7 @@
 from wharftiller.core.watch_tables import (
     CatchingUp,
     Fencing,
+    PlannedFailover,
     Promoting,
     Quiescing,
     Reading,
@@ -35,7 +36,6 @@
     Step,
     TakingTerm,
     Watching,
-    Wish,
 )
 
 if TYPE_CHECKING:
@@ -56,61 +56,67 @@
 QUIESCE_HOLD_MS = 2_000
 
 
-def consider(tables: WatchTables, group: WatchedGroup, now: float) -> None:
+def advance(tables: WatchTables, group: WatchedGroup, now: float) -> None:
     """Start an attempt if the primary is lost or a change is wanted, or push one on."""
     if not isinstance(group.step, Watching):
-        _push_on(tables, group, now)
+        _continue_attempt(tables, group, now)
         return
     rank = tables.rank_for(group)
     if rank is None or now < group.next_try_at:
         return
     delay = RANK_DELAY_S * min(rank, MAX_RANKS)
     if primary_is_lost(tables, group, now, delay):
-        _start(tables, group, None, now)
+        _start_attempt(tables, group, None, now)
         return
-    wish = wanted_change(tables, group)
-    if wish is None:
-        group.wished_at = None
-    elif group.wished_at is None:
-        group.wished_at = now
-    elif now - group.wished_at >= delay:
-        _start(tables, group, wish, now)
+    planned = find_planned_failover(tables, group)
+    if planned is None:
+        group.planned_since = None
+    elif group.planned_since is None:
+        group.planned_since = now
+    elif now - group.planned_since >= delay:
+        _start_attempt(tables, group, planned, now)
 
 
-def _start(tables: WatchTables, group: WatchedGroup, wish: Wish | None, now: float) -> None:
-    group.wish = wish
+def _start_attempt(
+    tables: WatchTables, group: WatchedGroup, planned: PlannedFailover | None, now: float
+) -> None:
+    group.planned = planned
     group.started_at = now
-    if wish is None:
-        silent_s = now - group.led_at
+    if planned is None:
+        silent_s = now - group.last_led_at
         text = f"has no primary answer for {silent_s:.1f} s; starting promotion"
     else:
-        text = f"changes its primary to {wish.target} as planned"
+        text = f"changes its primary to {planned.target} as planned"
     tables.emit(LogMessage(group.spec.name, text))
-    _go(group, Reading(), now)
+    _enter_step(group, Reading(), now)
     tables.emit(ReadRecord(group.spec.name))
 
 
-def _go(group: WatchedGroup, step: Step, now: float) -> None:
+def _enter_step(group: WatchedGroup, step: Step, now: float) -> None:
     group.step = step
-    group.orders_out.clear()
+    group.outstanding_orders.clear()
 
 
-def abandon(tables: WatchTables, group: WatchedGroup, wait_s: float, now: float, why: str) -> None:
+def abandon_attempt(
+    tables: WatchTables, group: WatchedGroup, wait_s: float, now: float, why: str
+) -> None:
     """Give the attempt up and try again no sooner than ``wait_s`` seconds from now."""
     if not isinstance(group.step, Watching):
         tables.emit(LogMessage(group.spec.name, f"promotion is given up: {why}"))
     if isinstance(group.step, Quiescing | CatchingUp):
-        group.orders_out.clear()
-        _order(tables, group, group.primary, Order.QUIESCE, level=0)
-    _go(group, Watching(), now)
+        group.outstanding_orders.clear()
+        _send_order(tables, group, group.primary, Order.QUIESCE, level=0)
+    _enter_step(group, Watching(), now)
     group.next_try_at = now + wait_s * tables.random.uniform(1.0, 1.3)
 
 
-def record_read(tables: WatchTables, group: WatchedGroup, read: RecordRead, now: float) -> None:
+def handle_record_read(
+    tables: WatchTables, group: WatchedGroup, read: RecordRead, now: float
+) -> None:
     """Go on with the group's record, unless another steward is at work."""
     if not isinstance(group.step, Reading):
         return
-    if _found_again(tables, group, now):
+    if _abandon_if_led(tables, group, now):
         return
     seen_version, seen_at = group.record_seen
     if read.version != seen_version:
@@ -119,26 +125,32 @@
     group.record = read.record
     group.version = read.version
     left_s = LEASE_S - (now - seen_at)
-    if _another_is_at_work(tables, group, read.record) and left_s > 0:
-        abandon(tables, group, left_s, now, f"{read.record.owner} took term {read.record.term}")
+    if _is_owned_by_another(tables, group, read.record) and left_s > 0:
+        abandon_attempt(
+            tables, group, left_s, now, f"{read.record.owner} took term {read.record.term}"
+        )
         return
-    if group.wish is not None and group.wish.plan and group.wish.plan == read.record.done_plan:
-        group.done_plans.add(group.wish.plan)
-        abandon(tables, group, 0.0, now, "the change was carried out already")
+    if (
+        group.planned is not None
+        and group.planned.plan
+        and group.planned.plan == read.record.done_plan
+    ):
+        group.done_plans.add(group.planned.plan)
+        abandon_attempt(tables, group, 0.0, now, "the change was carried out already")
         return
     _take_term(tables, group, now)
 
 
-def _found_again(tables: WatchTables, group: WatchedGroup, now: float) -> bool:
+def _abandon_if_led(tables: WatchTables, group: WatchedGroup, now: float) -> bool:
     """Give the attempt up if a primary has been heard since it began."""
-    heard = group.led_at >= group.started_at
-    if group.wish is not None or not heard or primary_is_lost(tables, group, now, 0.0):
+    has_led = group.last_led_at >= group.started_at
+    if group.planned is not None or not has_led or primary_is_lost(tables, group, now, 0.0):
         return False
-    abandon(tables, group, 0.0, now, f"{group.primary} leads term {group.term}")
+    abandon_attempt(tables, group, 0.0, now, f"{group.primary} leads term {group.term}")
     return True
 
 
-def _another_is_at_work(tables: WatchTables, group: WatchedGroup, record: GroupRecord) -> bool:
+def _is_owned_by_another(tables: WatchTables, group: WatchedGroup, record: GroupRecord) -> bool:
     """Return whether another steward takes a term, or has just led one this box knows not of."""
     if record.owner == tables.box:
         return False
@@ -152,84 +164,86 @@
         if (server := tables.servers[name]).report is not None
     ]
     term = max(group.record.term, group.term, *promised, 0) + 1
-    taken = attrs.evolve(
+    claim = attrs.evolve(
         group.record, term=term, owner=tables.box, state=LeadState.TAKING, primary=""
     )
-    group.record = taken
+    group.record = claim
     # A platform that came back from a copy may let two stewards take the same term.
     tables.attempts += 1
     group.attempt = f"{tables.process}.{tables.attempts}"
-    _go(group, TakingTerm(term), now)
-    tables.emit(UpdateRecord(group.spec.name, taken, group.version))
+    _enter_step(group, TakingTerm(term), now)
+    tables.emit(UpdateRecord(group.spec.name, claim, group.version))
 
 
-def record_updated(tables: WatchTables, group: WatchedGroup, version: int, now: float) -> None:
+def handle_record_updated(
+    tables: WatchTables, group: WatchedGroup, version: int, now: float
+) -> None:
     """Go on once the term is taken, or end once the primary is recorded."""
     match group.step:
         case TakingTerm(term):
             group.version = version
             group.record_seen = (version, now)
-            if _found_again(tables, group, now):
+            if _abandon_if_led(tables, group, now):
                 return
-            if group.wish is None:
+            if group.planned is None:
                 _fence(tables, group, term, now)
             else:
-                _go(group, Quiescing(term, writes_too=False), now)
-                _push_on(tables, group, now)
+                _enter_step(group, Quiescing(term, writes_too=False), now)
+                _continue_attempt(tables, group, now)
         case Recording(term, chosen):
             group.version = version
-            if group.wish is not None and group.wish.plan:
-                group.done_plans.add(group.wish.plan)
+            if group.planned is not None and group.planned.plan:
+                group.done_plans.add(group.planned.plan)
             tables.emit(LogMessage(group.spec.name, f"{chosen} leads term {term}, recorded"))
-            _go(group, Watching(), now)
+            _enter_step(group, Watching(), now)
             group.next_try_at = now
 
 
 def _fence(tables: WatchTables, group: WatchedGroup, term: int, now: float) -> None:
-    _go(group, Fencing(term, now, {}), now)
-    _push_on(tables, group, now)
+    _enter_step(group, Fencing(term, now, {}), now)
+    _continue_attempt(tables, group, now)
 
 
-def _push_on(tables: WatchTables, group: WatchedGroup, now: float) -> None:
+def _continue_attempt(tables: WatchTables, group: WatchedGroup, now: float) -> None:
     """Give the orders that the step misses, or give the attempt up when it takes too long."""
-    longest = ATTEMPT_S if group.wish is None else PLANNED_ATTEMPT_S
-    if now - group.started_at > longest:
-        abandon(tables, group, tables.detect_s / 2, now, f"{longest} s have passed")
+    max_s = ATTEMPT_S if group.planned is None else PLANNED_ATTEMPT_S
+    if now - group.started_at > max_s:
+        abandon_attempt(tables, group, tables.detect_s / 2, now, f"{max_s} s have passed")
         return
-    if group.wish is not None and primary_is_lost(tables, group, now, 0.0):
-        abandon(tables, group, 0.0, now, "the primary was lost meanwhile")
+    if group.planned is not None and primary_is_lost(tables, group, now, 0.0):
+        abandon_attempt(tables, group, 0.0, now, "the primary was lost meanwhile")
         return
     match group.step:
         case Quiescing(_, writes_too):
-            _order(tables, group, group.primary, Order.QUIESCE, level=2 if writes_too else 1)
+            _send_order(tables, group, group.primary, Order.QUIESCE, level=2 if writes_too else 1)
         case CatchingUp(term, position):
-            _check_caught_up(tables, group, term, position, now)
+            _fence_if_caught_up(tables, group, term, position, now)
         case Fencing(term, started_at, replies):
             for name in group.names:
                 if name not in replies:
-                    _order(tables, group, name, Order.FENCE)
+                    _send_order(tables, group, name, Order.FENCE)
             if now - started_at >= SECOND_REPLICA_WAIT_S:
-                _choose(tables, group, term, replies, now)
+                _choose_successor(tables, group, term, replies, now)
         case Promoting(_, chosen):
-            _order(tables, group, chosen, Order.PROMOTE)
+            _send_order(tables, group, chosen, Order.PROMOTE)
 
 
-def _order(
+def _send_order(
     tables: WatchTables, group: WatchedGroup, name: str | None, order: Order, level: int = 0
 ) -> None:
     server = tables.server(name)
     term = getattr(group.step, "term", 0)
-    if server is None or (server.name, order) in group.orders_out:
+    if server is None or (server.name, order) in group.outstanding_orders:
         return
-    group.orders_out.add((server.name, order))
-    asked_term = group.term if order is Order.QUIESCE else term
+    group.outstanding_orders.add((server.name, order))
+    order_term = group.term if order is Order.QUIESCE else term
     tables.emit(
         GiveOrder(
             group.spec.name,
             server.name,
             server.control_address,
             order,
-            asked_term,
+            order_term,
             level=level,
             hold_ms=QUIESCE_HOLD_MS if level else 0,
             attempt=group.attempt if order in (Order.FENCE, Order.PROMOTE) else "",
@@ -237,36 +251,40 @@
     )
 
 
-def order_lost(tables: WatchTables, group: WatchedGroup, lost: OrderLost, now: float) -> None:
+def handle_order_lost(
+    tables: WatchTables, group: WatchedGroup, lost: OrderLost, now: float
+) -> None:
     """Let the order be given again."""
-    group.orders_out.discard((lost.endpoint, lost.order))
+    group.outstanding_orders.discard((lost.endpoint, lost.order))
 
 
-def order_answered(
+def handle_order_answered(
     tables: WatchTables, group: WatchedGroup, answered: OrderAnswered, now: float
 ) -> None:
     """Take in a server's answer to an order of the step under way."""
-    group.orders_out.discard((answered.endpoint, answered.order))
+    group.outstanding_orders.discard((answered.endpoint, answered.order))
     report = answered.report
     match (group.step, answered.order):
         case (Quiescing(term, writes_too), Order.QUIESCE):
-            _quiesced(tables, group, term, writes_too, answered, now)
+            _handle_quiesced(tables, group, term, writes_too, answered, now)
         case (Fencing(term, started_at, replies), Order.FENCE) if answered.term == term:
             if not answered.accepted:
                 why = f"{answered.endpoint} has promised term {report.promised}"
-                abandon(tables, group, tables.detect_s / 2, now, why)
+                abandon_attempt(tables, group, tables.detect_s / 2, now, why)
                 return
             replies = {**replies, answered.endpoint: report}
             group.step = Fencing(term, started_at, replies)
             _choose_early(tables, group, term, replies, now)
         case (Promoting(term, chosen), Order.PROMOTE) if answered.term == term:
             if answered.accepted:
-                _promoted(tables, group, term, chosen, now)
+                _handle_promoted(tables, group, term, chosen, now)
             else:
-                abandon(tables, group, tables.detect_s / 2, now, f"{chosen} refuses to lead")
+                abandon_attempt(
+                    tables, group, tables.detect_s / 2, now, f"{chosen} refuses to lead"
+                )
 
 
-def _quiesced(
+def _handle_quiesced(
     tables: WatchTables,
     group: WatchedGroup,
     term: int,
@@ -275,22 +293,22 @@
     now: float,
 ) -> None:
     if not answered.accepted:
-        abandon(tables, group, tables.detect_s / 2, now, "the primary refuses to quiesce")
+        abandon_attempt(tables, group, tables.detect_s / 2, now, "the primary refuses to quiesce")
         return
     if not writes_too:
         if answered.report.open_transactions == 0:
-            _go(group, Quiescing(term, writes_too=True), now)
-            _push_on(tables, group, now)
+            _enter_step(group, Quiescing(term, writes_too=True), now)
+            _continue_attempt(tables, group, now)
         return
-    _go(group, CatchingUp(term, answered.report.position), now)
-    _check_caught_up(tables, group, term, answered.report.position, now)
+    _enter_step(group, CatchingUp(term, answered.report.position), now)
+    _fence_if_caught_up(tables, group, term, answered.report.position, now)
 
 
-def _check_caught_up(
+def _fence_if_caught_up(
     tables: WatchTables, group: WatchedGroup, term: int, position: int, now: float
 ) -> None:
-    assert group.wish is not None
-    target = tables.servers[group.wish.target]
+    assert group.planned is not None
+    target = tables.servers[group.planned.target]
     if target.report is not None and target.report.position >= position:
         _fence(tables, group, term, now)
     else:
@@ -306,12 +324,12 @@
 ) -> None:
     """Choose at once when a majority without the old primary, or every server, answered."""
     without_old = [name for name in replies if name != group.primary]
-    target_in = group.wish is not None and group.wish.target in replies
+    target_in = group.planned is not None and group.planned.target in replies
     if len(without_old) >= MAJORITY or (target_in and len(replies) >= MAJORITY):
-        _choose(tables, group, term, replies, now)
+        _choose_successor(tables, group, term, replies, now)
 
 
-def _choose(
+def _choose_successor(
     tables: WatchTables,
     group: WatchedGroup,
     term: int,
@@ -325,35 +343,39 @@
     others = {name: report for name, report in replies.items() if name != group.primary}
     if len(others) >= MAJORITY:
         candidates = others
-    chosen = max(candidates, key=lambda name: _preference(tables, group, candidates[name]))
+    chosen = max(candidates, key=lambda name: _candidate_key(tables, group, candidates[name]))
     tables.emit(LogMessage(group.spec.name, f"{chosen} is chosen for term {term}"))
-    _go(group, Promoting(term, chosen), now)
-    _push_on(tables, group, now)
+    _enter_step(group, Promoting(term, chosen), now)
+    _continue_attempt(tables, group, now)
 
 
-def _preference(
+def _candidate_key(
     tables: WatchTables, group: WatchedGroup, report: Report
 ) -> tuple[LogPosition, bool, bool, str]:
-    wanted = group.wish is not None and group.wish.target == report.endpoint
+    wanted = group.planned is not None and group.planned.target == report.endpoint
     staying = not (report.leaving or tables.servers[report.endpoint].leaving)
     return (report.log_position, wanted, staying, report.endpoint)
 
 
-def _promoted(tables: WatchTables, group: WatchedGroup, term: int, chosen: str, now: float) -> None:
+def _handle_promoted(
+    tables: WatchTables, group: WatchedGroup, term: int, chosen: str, now: float
+) -> None:
     group.term = term
     group.primary = chosen
-    group.led_at = now
+    group.last_led_at = now
     tables.emit(NoticePrimary(group.spec.name, term, chosen))
     for name in group.names:
         if name != chosen:
-            _follow(tables, group, tables.servers[name], now)
-    plan = group.wish.plan if group.wish and group.wish.plan else group.record.done_plan
+            _order_follow(tables, group, tables.servers[name], now)
+    plan = group.planned.plan if group.planned and group.planned.plan else group.record.done_plan
     record = GroupRecord(term, tables.box, LeadState.LED, chosen, plan)
-    _go(group, Recording(term, chosen), now)
+    _enter_step(group, Recording(term, chosen), now)
     tables.emit(UpdateRecord(group.spec.name, record, group.version))
 
 
-def _follow(tables: WatchTables, group: WatchedGroup, server: WatchedServer, now: float) -> None:
+def _order_follow(
+    tables: WatchTables, group: WatchedGroup, server: WatchedServer, now: float
+) -> None:
     primary = tables.server(group.primary)
     if primary is None:
         return
@@ -373,7 +395,7 @@
 FOLLOW_RETRY_S = 0.3
 
 
-def remind_followers(tables: WatchTables, group: WatchedGroup, now: float) -> None:
+def redirect_replicas(tables: WatchTables, group: WatchedGroup, now: float) -> None:
     """Tell servers that lack the newest term whom to follow."""
     primary = tables.server(group.primary)
     if primary is None or primary.report is None or primary.report.role is not Role.PRIMARY:
@@ -383,7 +405,7 @@
         report = server.report
         if server is primary or report is None or now - server.followed_at < FOLLOW_RETRY_S:
             continue
-        astray = report.log_term < group.term
-        deaf = report.primary_silent_ms > tables.detect_s * 1000
-        if report.promised <= group.term and (astray or deaf):
-            _follow(tables, group, server, now)
+        has_old_term = report.log_term < group.term
+        misses_primary = report.primary_silent_ms > tables.detect_s * 1000
+        if report.promised <= group.term and (has_old_term or misses_primary):
+            _order_follow(tables, group, server, now)
--- a/wharftiller/core/steward.py
+++ b/wharftiller/core/steward.py
@@ -78,70 +78,70 @@
         """Take one input at ``now`` (monotonic seconds) and return what is to be done."""
         match message:
             case ServerReported(name, _, report):
-                self._reported(name, report, now)
+                self._handle_report(name, report, now)
             case ServerSilent(name, _):
-                self._silent(name)
+                self._handle_no_report(name)
             case ConfigurationArrived(configuration):
-                self._configure(configuration, now)
+                self._apply_configuration(configuration, now)
             case BoxesPlaced(boxes):
-                self._tables.place_boxes(boxes)
+                self._tables.set_boxes(boxes)
             case Tick():
                 self._tick(now)
             case _:
-                self._about_group(message, now)
-        taken, self._tables.outputs = self._tables.outputs, []
-        return taken
+                self._handle_group_message(message, now)
+        outputs, self._tables.outputs = self._tables.outputs, []
+        return outputs
 
-    def _about_group(self, message: StewardInput, now: float) -> None:
+    def _handle_group_message(self, message: StewardInput, now: float) -> None:
         tables = self._tables
         group = tables.groups.get(getattr(message, "group", ""))
         if group is None:
             return
         match message:
             case RecordRead():
-                promotion.record_read(tables, group, message, now)
+                promotion.handle_record_read(tables, group, message, now)
             case RecordUpdated(_, version):
-                promotion.record_updated(tables, group, version, now)
+                promotion.handle_record_updated(tables, group, version, now)
             case RecordConflict():
                 why = "another steward changed the group's record"
                 wait_s = 0.0 if isinstance(group.step, Recording) else promotion.LEASE_S
-                promotion.abandon(tables, group, wait_s, now, why)
+                promotion.abandon_attempt(tables, group, wait_s, now, why)
             case PlatformFailed():
                 why = "the platform does not answer"
-                promotion.abandon(tables, group, PLATFORM_RETRY_S, now, why)
+                promotion.abandon_attempt(tables, group, PLATFORM_RETRY_S, now, why)
             case OrderAnswered():
-                self._learn(message.endpoint, message.report, now)
-                promotion.order_answered(tables, group, message, now)
+                self._apply_report(message.endpoint, message.report, now)
+                promotion.handle_order_answered(tables, group, message, now)
             case OrderLost():
-                promotion.order_lost(tables, group, message, now)
+                promotion.handle_order_lost(tables, group, message, now)
 
-    def _reported(self, name: str, report: Report, now: float) -> None:
+    def _handle_report(self, name: str, report: Report, now: float) -> None:
         server = self._tables.servers.get(name)
         if server is None:
             return
         server.asked_at = None
-        self._learn(name, report, now)
-        promotion.consider(self._tables, self._tables.groups[server.group], now)
+        self._apply_report(name, report, now)
+        promotion.advance(self._tables, self._tables.groups[server.group], now)
 
-    def _learn(self, name: str, report: Report, now: float) -> None:
+    def _apply_report(self, name: str, report: Report, now: float) -> None:
         server = self._tables.servers.get(name)
         if server is None:
             return
         server.report = report
         server.last_contact_at = now
         group = self._tables.groups[server.group]
-        leads = report.role is Role.PRIMARY and report.settled
-        if leads and report.promised >= group.term:
+        is_leading = report.role is Role.PRIMARY and report.settled
+        if is_leading and report.promised >= group.term:
             group.term = report.promised
             group.primary = name
-            group.led_at = now
+            group.last_led_at = now
 
-    def _silent(self, name: str) -> None:
+    def _handle_no_report(self, name: str) -> None:
         server = self._tables.servers.get(name)
         if server is not None:
             server.asked_at = None
 
-    def _configure(self, configuration: Configuration, now: float) -> None:
+    def _apply_configuration(self, configuration: Configuration, now: float) -> None:
         tables = self._tables
         if configuration.generation <= tables.configuration.generation:
             return
@@ -150,7 +150,7 @@
         for spec in configuration.groups.values():
             group = tables.groups.get(spec.name)
             if group is None:
-                tables.groups[spec.name] = WatchedGroup(spec, led_at=now)
+                tables.groups[spec.name] = WatchedGroup(spec, last_led_at=now)
             else:
                 group.spec = spec
             for endpoint in spec.endpoints:
@@ -168,14 +168,14 @@
                 tables.servers.pop(server, None)
 
     def _tick(self, now: float) -> None:
-        self._notice_pause(now)
+        self._reset_after_pause(now)
         for group in self._tables.groups.values():
-            watched = self._tables.rank_for(group) is not None
-            under_way = not isinstance(group.step, Watching)
-            if watched or under_way:
-                self._watch(group, now)
+            is_watched = self._tables.rank_for(group) is not None
+            is_under_way = not isinstance(group.step, Watching)
+            if is_watched or is_under_way:
+                self._poll_group(group, now)
 
-    def _watch(self, group: WatchedGroup, now: float) -> None:
+    def _poll_group(self, group: WatchedGroup, now: float) -> None:
         for name in group.names:
             server = self._tables.servers[name]
             probe_s = self._probe_s(group, name, now)
@@ -183,9 +183,9 @@
                 server.asked_at = now
                 server.last_asked_at = now
                 self._tables.emit(AskReport(server.name, server.control_address))
-        promotion.consider(self._tables, group, now)
+        promotion.advance(self._tables, group, now)
         if isinstance(group.step, Watching):
-            promotion.remind_followers(self._tables, group, now)
+            promotion.redirect_replicas(self._tables, group, now)
 
     def _probe_s(self, group: WatchedGroup, name: str, now: float) -> float:
         """Return the time between two reports of a server, in seconds.
@@ -194,14 +194,14 @@
         is silent all are asked at the primary's pace.
         """
         probe_s = self._tables.detect_s * PROBE_FRACTION
-        led = now - group.led_at <= 2 * probe_s and isinstance(group.step, Watching)
-        return probe_s * REPLICA_INTERVAL if led and name != group.primary else probe_s
+        is_led = now - group.last_led_at <= 2 * probe_s and isinstance(group.step, Watching)
+        return probe_s * REPLICA_INTERVAL if is_led and name != group.primary else probe_s
 
-    def _notice_pause(self, now: float) -> None:
+    def _reset_after_pause(self, now: float) -> None:
         """After a pause of this process, give every primary a fresh chance to answer."""
         ticked_at = self._tables.ticked_at
         self._tables.ticked_at = now
         if ticked_at is None or now - ticked_at < PAUSE_S:
             return
         for group in self._tables.groups.values():
-            group.led_at = now
+            group.last_led_at = now
--- a/wharftiller/core/watch_tables.py
+++ b/wharftiller/core/watch_tables.py
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class Wish:
+class PlannedFailover:
     """A change of primary that is wanted while the primary is well.
 
     Attributes
@@ -126,7 +126,7 @@
 
     Attributes
     ----------
-    led_at : float
+    last_led_at : float
         When a server last said that it leads the newest term, in seconds.
     version : int
         Version of the group's record that the attempt is based on.
@@ -139,7 +139,7 @@
     """
 
     spec: GroupSpec
-    led_at: float
+    last_led_at: float
     term: int = 0
     primary: str | None = None
     step: Step = Watching()
@@ -149,10 +149,10 @@
     record: GroupRecord = attrs.field(factory=GroupRecord)
     record_seen: tuple[int, float] = (0, 0.0)
     attempt: str = ""
-    wish: Wish | None = None
-    wished_at: float | None = None
+    planned: PlannedFailover | None = None
+    planned_since: float | None = None
     done_plans: set[str] = attrs.field(factory=set)
-    orders_out: set[tuple[str, Order]] = attrs.field(factory=set)
+    outstanding_orders: set[tuple[str, Order]] = attrs.field(factory=set)
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -160,7 +160,7 @@
         return tuple(endpoint.name for endpoint in self.spec.endpoints)
 
     @property
-    def places(self) -> frozenset[str]:
+    def data_centres(self) -> frozenset[str]:
         """The data centres that hold them."""
         return frozenset(endpoint.data_centre for endpoint in self.spec.endpoints)
 
@@ -192,7 +192,7 @@
     outputs: list[StewardOutput] = attrs.field(factory=list)
     _ranks: dict[tuple[int, frozenset[str]], int | None] = attrs.field(factory=dict)
 
-    def place_boxes(self, boxes: dict[str, str]) -> None:
+    def set_boxes(self, boxes: dict[str, str]) -> None:
         """Take in a list of boxes."""
         if boxes != self.boxes:
             self.boxes = boxes
@@ -200,9 +200,9 @@
 
     def rank_for(self, group: WatchedGroup) -> int | None:
         """Return this steward's rank among the watchers of ``group``; None if it is none."""
-        key = (watch_shard(group.spec.name), group.places)
+        key = (watch_shard(group.spec.name), group.data_centres)
         if key not in self._ranks:
-            self._ranks[key] = watch_rank(key[0], self.boxes, self.box, group.places)
+            self._ranks[key] = watch_rank(key[0], self.boxes, self.box, group.data_centres)
         return self._ranks[key]
 
     def emit(self, output: StewardOutput) -> None:
--- a/wharftiller/core/watching.py
+++ b/wharftiller/core/watching.py
@@ -22,7 +22,7 @@
 
 
 def watch_rank(
-    shard: int, boxes: dict[str, str], box: str, endpoint_places: frozenset[str]
+    shard: int, boxes: dict[str, str], box: str, endpoint_data_centres: frozenset[str]
 ) -> int | None:
     """Return how many other watchers of a shard act before ``box``; None if it does not watch.
 
@@ -30,19 +30,19 @@
     ----------
     boxes : dict of str to str
         Data centre by box. While no list is known every box watches everything.
-    endpoint_places : frozenset of str
+    endpoint_data_centres : frozenset of str
         Data centres that hold the group's endpoints; only their boxes watch,
         unless none of them has a box.
     """
     if not boxes:
         return 0
     data_centre = boxes.get(box)
-    places = endpoint_places & set(boxes.values()) or set(boxes.values())
-    if data_centre is None or data_centre not in places:
+    data_centres = endpoint_data_centres & set(boxes.values()) or set(boxes.values())
+    if data_centre is None or data_centre not in data_centres:
         return None
     key = f"watch/{shard}"
-    neighbours = [name for name, place in boxes.items() if place == data_centre]
-    here = rank(key, neighbours, box)
-    if here >= WATCHERS:
+    peers = [name for name, box_data_centre in boxes.items() if box_data_centre == data_centre]
+    local_rank = rank(key, peers, box)
+    if local_rank >= WATCHERS:
         return None
-    return ranked(key, places).index(data_centre) + len(places) * here
+    return ranked(key, data_centres).index(data_centre) + len(data_centres) * local_rank
--- a/wharftiller/decisions.py
+++ b/wharftiller/decisions.py
@@ -84,7 +84,7 @@
         if window != self._window:
             self._window = window
             self._written.clear()
-            self._tell_left_out()
+            self._log_left_out()
         self._written[event] += 1
         if self._written[event] > PER_KIND_PER_S:
             self._left_out[event] += 1
@@ -134,7 +134,7 @@
         kind = "unsettled" if refusal.kind is RefusalKind.OUTCOME_UNKNOWN else "refused"
         self.event(kind, **fields, reason=refusal.kind.value, detail=refusal.detail)
 
-    def _tell_left_out(self) -> None:
+    def _log_left_out(self) -> None:
         if self._left_out:
             left_out = dict(self._left_out)
             self._left_out.clear()
--- a/wharftiller/request_timeline.py
+++ b/wharftiller/request_timeline.py
@@ -46,8 +46,8 @@
 
     def sentence(self) -> str:
         """Return the event and its fields on one line."""
-        told = " ".join(f"{key}={value}" for key, value in self.fields.items())
-        return f"{self.at:.3f} {self.box} {self.event} {told}".rstrip()
+        fields = " ".join(f"{key}={value}" for key, value in self.fields.items())
+        return f"{self.at:.3f} {self.box} {self.event} {fields}".rstrip()
 
 
 def read_events(lines: Iterable[str]) -> Iterator[LoggedEvent]:
--- a/wharftiller/run_losses.py
+++ b/wharftiller/run_losses.py
@@ -24,10 +24,10 @@
 SLOW = "slow"
 """Cause of a late answer about whose primary nothing out of the ordinary was known."""
 
-AT_THE_DOOR = "door"
+CONNECTION_LIMIT = "door"
 """Cause of callers that found no room for a session."""
 
-ENDED_LINES = ("refused", "unsettled")
+UNSUCCESSFUL_EVENTS = ("refused", "unsettled")
 """Events of statements that ended without a result."""
 
 
@@ -71,18 +71,18 @@
         fields = event.fields
         match event.event:
             case "refused":
-                found = loss(event, _cause_of(fields))
-                found.refused += 1
-                found.too_early += _is_too_early(fields)
+                row = loss(event, _cause_of(fields))
+                row.refused += 1
+                row.too_early += _is_too_early(fields)
             case "unsettled":
                 loss(event, _cause_of(fields)).unknown += 1
             case "answered" if fields.get("late"):
                 loss(event, _cause_of_late(fields)).late += 1
             case "door_full":
-                loss(event, AT_THE_DOOR).refused += int(fields.get("refused") or 0)
+                loss(event, CONNECTION_LIMIT).refused += int(fields.get("refused") or 0)
             case "lines_left_out":
                 for name, count in _counts(fields).items():
-                    if name in ENDED_LINES:
+                    if name in UNSUCCESSFUL_EVENTS:
                         loss(event, NOT_LOGGED).refused += count
     return sorted(losses.values(), key=lambda each: (each.begin, each.cause))
 
--- a/wharftiller/run_report.py
+++ b/wharftiller/run_report.py
@@ -71,10 +71,10 @@
 
 def report_of(events: Iterable[LoggedEvent]) -> RunReport:
     """Return the report of a run; lines that were left out by rate are not in it."""
-    in_time = sorted(events, key=lambda each: each.at)
-    first = in_time[0].at if in_time else 0.0
-    refusals = _refusals(in_time, first)
-    return RunReport(_reads(in_time), _changes(in_time), refusals, losses_of(in_time, first))
+    ordered = sorted(events, key=lambda each: each.at)
+    first = ordered[0].at if ordered else 0.0
+    refusals = _refusals(ordered, first)
+    return RunReport(_reads(ordered), _failovers(ordered), refusals, losses_of(ordered, first))
 
 
 def _reads(events: list[LoggedEvent]) -> list[ReadShare]:
@@ -93,7 +93,7 @@
     ]
 
 
-def _changes(events: list[LoggedEvent]) -> list[Failover]:
+def _failovers(events: list[LoggedEvent]) -> list[Failover]:
     started: dict[tuple[str, str], LoggedEvent] = {}
     orders: dict[str, list[LoggedEvent]] = collections.defaultdict(list)
     changes = []
@@ -109,11 +109,11 @@
                     group = str(order.fields["group"])
                     start = started.get((event.box, group))
                     if start is not None:
-                        changes.append(_change(events, group, start, order, event))
+                        changes.append(_failover(events, group, start, order, event))
     return changes
 
 
-def _change(
+def _failover(
     events: list[LoggedEvent],
     group: str,
     start: LoggedEvent,
--- a/wharftiller/settings.py
+++ b/wharftiller/settings.py
@@ -17,7 +17,7 @@
 from wharftiller.edges.transport import split_address
 from wharftiller.keys import KeyRing
 
-LEAST_SECRET = 16
+MIN_SECRET_CHARS = 16
 
 
 class SettingError(WharfError):
@@ -214,12 +214,12 @@
     try:
         _converter.structure(value, Settings)
     except Exception as error:
-        lines = cattrs.transform_error(error, path="", format_exception=_describe)
+        lines = cattrs.transform_error(error, path="", format_exception=_error_text)
         return [_fault(line, text) for line in lines]
     return []
 
 
-def _describe(error: BaseException, _: type | None) -> str:
+def _error_text(error: BaseException, _: type | None) -> str:
     if isinstance(error, KeyError):
         return f"{error.args[0]!r} is missing; add it"
     return f"{error}; correct it"
@@ -239,8 +239,8 @@
         except ValueError as error:
             yield SettingError(f"setting {name!r}: {error}", _line_of(text, address))
     for kid, secret in settings.keys.secrets.items():
-        if len(secret) < LEAST_SECRET:
-            detail = f"secret {kid!r} has {len(secret)} characters; use {LEAST_SECRET} or more"
+        if len(secret) < MIN_SECRET_CHARS:
+            detail = f"secret {kid!r} has {len(secret)} characters; use {MIN_SECRET_CHARS} or more"
             yield SettingError(detail, _line_of(text, kid))
     if settings.keys.current not in settings.keys.secrets:
         known = sorted(settings.keys.secrets)
@@ -249,7 +249,7 @@
     if settings.logs.level not in ("debug", "info", "warning", "error"):
         detail = f"'logs.level' is {settings.logs.level!r}; use debug, info, warning or error"
         yield SettingError(detail, _line_of(text, "level"))
-    for name, figure in _positive_figures(settings):
+    for name, figure in _positive_numbers(settings):
         if not figure > 0:
             detail = f"{name!r} is {figure}; use a number above 0"
             yield SettingError(detail, _line_of(text, name.rpartition(".")[2]))
@@ -266,7 +266,7 @@
         yield "metrics.statsd", settings.metrics.statsd
 
 
-def _positive_figures(settings: Settings) -> Iterator[tuple[str, float]]:
+def _positive_numbers(settings: Settings) -> Iterator[tuple[str, float]]:
     yield "platform.list_lag_s", settings.platform.list_lag_s
     yield "proxy.stop_longest_s", settings.proxy.stop_longest_s
     yield "steward.detect_s", settings.steward.detect_s
--- a/wharftiller/tests/core/test_intents.py
+++ b/wharftiller/tests/core/test_intents.py
@@ -38,7 +38,7 @@
 
 class TestApplyIntent:
     @pytest.mark.parametrize(
-        ("intent", "told"),
+        ("intent", "message"),
         [
             (CreatePool(PoolSpec("p", ())), "exists already"),
             (RemoveGroup("g"), "used by pools"),
@@ -47,8 +47,8 @@
             (ChangePool("p", add_groups=("h",), add_businesses={"rila": "h"}), "left behind"),
         ],
     )
-    def test_refusal_names_the_remedy(self, intent: Intent, told: str) -> None:
-        with pytest.raises(ConfigurationError, match=told.replace("[", r"\[")):
+    def test_refusal_names_the_remedy(self, intent: Intent, message: str) -> None:
+        with pytest.raises(ConfigurationError, match=message.replace("[", r"\[")):
             apply_intent(START, intent, "plan")
 
     def test_drain_marks_one_endpoint(self) -> None:
--- a/wharftiller/tests/core/test_promotion.py
+++ b/wharftiller/tests/core/test_promotion.py
@@ -55,10 +55,10 @@
     def report(self, name: str, **fields: Any) -> None:
         self.feed(ServerReported(name, self.now, self.state(name, **fields)))
 
-    def lose_primary(self, longest_s: float = 3.0) -> None:
+    def lose_primary(self, max_s: float = 3.0) -> None:
         """Let time pass while only the replicas report that they miss the primary."""
         silent_ms = 0
-        for _ in range(round(longest_s / 0.2)):
+        for _ in range(round(max_s / 0.2)):
             self.now += 0.2
             silent_ms += 200
             for name in "bc":
--- a/wharftiller/tests/test_decisions.py
+++ b/wharftiller/tests/test_decisions.py
@@ -24,11 +24,11 @@
         return len(data)
 
 
-def run(story) -> Output:  # type: ignore[no-untyped-def]
+def run(scenario) -> Output:  # type: ignore[no-untyped-def]
     output = Output()
 
     async def main() -> None:
-        await story(DecisionLog("proxy", "box-1", output.write), output)
+        await scenario(DecisionLog("proxy", "box-1", output.write), output)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     return output
@@ -36,18 +36,18 @@
 
 class TestLog:
     def test_lines_are_whole_in_every_write(self) -> None:
-        async def story(log: DecisionLog, output: Output) -> None:
+        async def scenario(log: DecisionLog, output: Output) -> None:
             for number in range(200):
                 log.change("box_listed", other=f"box-{number}")
             log.flush()
 
-        output = run(story)
+        output = run(scenario)
         assert all(chunk.endswith(b"\n") and len(chunk) <= CHUNK_BYTES for chunk in output.chunks)
         lines = b"".join(output.chunks).splitlines()
         assert [json.loads(line)["other"] for line in lines] == [f"box-{n}" for n in range(200)]
 
     def test_a_blocked_output_costs_lines_not_time(self) -> None:
-        async def story(log: DecisionLog, output: Output) -> None:
+        async def scenario(log: DecisionLog, output: Output) -> None:
             output.blocked = True
             for _ in range(3):
                 for number in range(BUFFER_LINES):
@@ -56,17 +56,17 @@
             output.blocked = False
             log.flush()
 
-        assert b"".join(run(story).chunks).count(b"\n") <= BUFFER_LINES
+        assert b"".join(run(scenario).chunks).count(b"\n") <= BUFFER_LINES
 
     def test_a_kind_is_written_up_to_its_rate_and_the_rest_counted(self) -> None:
-        async def story(log: DecisionLog, output: Output) -> None:
+        async def scenario(log: DecisionLog, output: Output) -> None:
             for _ in range(PER_KIND_PER_S + 30):
                 log.event("no_status", endpoint="one")
             await trio.sleep(1.1)
             log.event("no_status", endpoint="one")
             log.flush()
 
-        lines = [json.loads(line) for line in b"".join(run(story).chunks).splitlines()]
+        lines = [json.loads(line) for line in b"".join(run(scenario).chunks).splitlines()]
         assert sum(line["event"] == "no_status" for line in lines) == PER_KIND_PER_S + 1
         left_out = [line for line in lines if line["event"] == "lines_left_out"]
         assert left_out[0]["counts"] == {"no_status": 30}
--- a/wharftiller/tests/test_operations_page.py
+++ b/wharftiller/tests/test_operations_page.py
@@ -45,8 +45,8 @@
 class TestMetrics:
     def test_the_page_names_just_the_metrics_that_are_told(self) -> None:
         gauges = (PACKAGE / "daemons" / "sessions" / "gauges.py").read_text()
-        told = set(re.findall(r"(?:_plain|Gauge)\(\s*\"([a-z_]+)\"", gauges))
+        found = set(re.findall(r"(?:_plain|Gauge)\(\s*\"([a-z_]+)\"", gauges))
         page = (PACKAGE / "edges" / "metrics_page.py").read_text()
-        told |= set(re.findall(r"f\"\{PREFIX\}_([a-z_]+)\"", page))
+        found |= set(re.findall(r"f\"\{PREFIX\}_([a-z_]+)\"", page))
         named = set(re.findall(r"`wharftiller_([a-z_]+)`", section("Metrics")))
-        assert {name.removesuffix("_total") for name in named} == told
+        assert {name.removesuffix("_total") for name in named} == found
--- a/wharftiller/tests/test_run_report.py
+++ b/wharftiller/tests/test_run_report.py
@@ -55,17 +55,17 @@
 
 
 @pytest.fixture
-def told() -> RunReport:
+def report() -> RunReport:
     return report_of(read_events(LINES))
 
 
 class TestReport:
-    def test_reads_are_told_by_who_served_them(self, told: RunReport) -> None:
-        (share,) = told.reads
+    def test_reads_are_told_by_who_served_them(self, report: RunReport) -> None:
+        (share,) = report.reads
         assert (share.reading, share.by_replicas, share.by_primaries) == ("BoundedReads", 2, 1)
 
-    def test_a_change_is_timed_from_silence_and_from_the_decision(self, told: RunReport) -> None:
-        (change,) = told.changes
+    def test_a_change_is_timed_from_silence_and_from_the_decision(self, report: RunReport) -> None:
+        (change,) = report.changes
         assert (change.old, change.successor) == ("one", "two")
         assert change.silent_s == pytest.approx(1.8)
         assert change.change_s == pytest.approx(0.8)
@@ -81,8 +81,8 @@
         changes = report_of(read_events(events)).changes
         assert [change.group for change in changes] == ["seats", "tours"]
 
-    def test_refusals_are_counted_by_time_and_reason(self, told: RunReport) -> None:
-        assert told.refusals == {(4.0, "no_capacity"): 2}
+    def test_refusals_are_counted_by_time_and_reason(self, report: RunReport) -> None:
+        assert report.refusals == {(4.0, "no_capacity"): 2}
 
     def test_losses_are_told_by_cause_and_moment(self) -> None:
         events = [
@@ -102,18 +102,18 @@
         ]
 
     def test_every_refusal_of_a_run_names_its_cause(self) -> None:
-        async def story(world: World) -> None:
-            desk = await world.call(world.boxes["box-1"], "primary")
+        async def scenario(world: World) -> None:
+            caller = await world.call(world.boxes["box-1"], "primary")
             world.kill_server(world.groups[0].primary)
             for number in range(20):
-                await desk.ask(f"WRITE seat{number} x")
+                await caller.ask(f"WRITE seat{number} x")
                 await trio.sleep(0.1)
             lines = [json.dumps(each) for other in world.boxes.values() for each in other.log()]
             causes = {loss.cause for loss in report_of(read_events(lines)).losses if loss.refused}
             assert causes <= {cause.value for cause in Cause} | {"timed_out"}
             assert "primary_silent" in causes or "no_connection" in causes
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_nothing_logged_is_an_empty_report(self) -> None:
         assert report_of([]) == RunReport([], [], {})
@@ -127,11 +127,11 @@
         assert "<svg" in picture.read_text()
 
     def test_the_logs_of_a_run_make_a_report(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            desk = await world.call(box, "primary")
+            caller = await world.call(box, "primary")
             reader = await world.call(box, "bounded_staleness")
-            await desk.ask("READ seat1")
+            await caller.ask("READ seat1")
             for _ in range(300):
                 await reader.ask("READ seat1")
             world.kill_server(world.groups[0].primary)
@@ -142,4 +142,4 @@
             assert report.reads[0].by_replicas > 0
             assert [change.planned for change in report.changes] == [False]
 
-        run_in_world(story)
+        run_in_world(scenario)
--- a/wharftiller/traces.py
+++ b/wharftiller/traces.py
@@ -108,7 +108,7 @@
 
 
 @attrs.frozen
-class Replayed:
+class ReplayedStep:
     """One step of a replay.
 
     Attributes
@@ -127,10 +127,10 @@
         return [output for output in self.outputs if isinstance(output, AnswerCaller)]
 
 
-def replay(header: TraceHeader, lines: list[TraceLine]) -> Iterator[Replayed]:
+def replay(header: TraceHeader, lines: list[TraceLine]) -> Iterator[ReplayedStep]:
     """Feed a trace to a new core and compare what it asks for."""
     core = ProxyCore(header.box, random.Random(header.seed), header.list_lag_s)
     for line in lines:
         outputs = core.handle(line.message, line.at)
         described = orjson.loads(orjson.dumps([describe_output(output) for output in outputs]))
-        yield Replayed(line, outputs, described == line.outputs)
+        yield ReplayedStep(line, outputs, described == line.outputs)
