--- a/wharftiller/core/configuration.py
+++ b/wharftiller/core/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that is agreed in the platform: pools, groups and their rules."""
+"""The configuration stored in the platform: pools, groups and their rules."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     Attributes
     ----------
     address, control_address : str
-        ``ip:port`` for statements, and for reports, fences and promotions.
+        ``ip:port`` for statements, and for reports and the steward's orders.
     leaving : bool
-        True once an operator has asked to drain it.
+        Whether an operator has drained it.
     """
 
     name: str
@@ -31,14 +31,14 @@
 
 @attrs.frozen
 class Capabilities:
-    """What the endpoints of a group can do beyond running statements.
+    """What the endpoints of a group support besides running statements.
 
     Attributes
     ----------
     recorded_ids : bool
-        A request id is recorded in the same transaction as the write.
+        Request ids are recorded in the same transaction as the write.
     fence : bool
-        A server can be told to refuse every term below a given one.
+        A server can be ordered to refuse every term below a given one.
     """
 
     recorded_ids: bool = True
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class WantedPrimary:
-    """An operator's wish that ``endpoint`` leads, and the plan that said so."""
+    """The primary that an operator's plan asks for, and the plan's id."""
 
     endpoint: str
     plan: str
@@ -60,9 +60,9 @@
     Attributes
     ----------
     slots : int
-        Statements one server runs at once.
+        Statements that one server runs concurrently.
     max_connections : int
-        Statement connections one server accepts from all boxes together.
+        Statement connections that one server accepts, over all boxes.
     """
 
     name: str
@@ -80,11 +80,11 @@
     Attributes
     ----------
     max_age_ms : int or None
-        Age allowed when a read names none; None means the latest data.
+        Maximum age of reads that set none; None means the latest data.
     replica_wait_ms : int
-        How long a read waits for a replica before the primary may serve it.
+        Time that a read waits for a replica before the primary may serve it.
     primary_fallback : bool
-        Whether the primary serves a read that no replica may serve.
+        Whether the primary serves reads that no replica may serve.
     """
 
     max_age_ms: int | None = None
@@ -99,7 +99,7 @@
     Attributes
     ----------
     transaction_idle_ms, transaction_length_ms : int
-        Bounds on a transaction's idle time and whole length.
+        Maximum idle time and duration of a transaction.
     """
 
     transaction_idle_ms: int = 2_000
@@ -108,14 +108,14 @@
 
 @attrs.frozen
 class QueueRule:
-    """Bounds of a box's queues for a group.
+    """Limits of a box's queues for a group.
 
     Attributes
     ----------
     bookings, lookups : int
-        Requests that may wait, by class.
+        Maximum number of queued requests, by class.
     business_share : float
-        Part of a queue that one business may fill, in (0, 1].
+        Fraction of a queue that one business may fill, in (0, 1].
     """
 
     bookings: int = 200
@@ -143,7 +143,7 @@
 
 @attrs.frozen
 class Configuration:
-    """Everything in force at one generation."""
+    """The whole configuration at one generation."""
 
     generation: int = 0
     pools: dict[str, PoolSpec] = attrs.field(factory=dict)
@@ -151,7 +151,7 @@
 
 
 def configuration_faults(configuration: Configuration) -> list[str]:
-    """Return one sentence per broken rule, each naming the remedy."""
+    """Return a sentence for each broken rule, with what to do about it."""
     faults = list(_name_faults(configuration))
     for group in configuration.groups.values():
         faults.extend(_group_faults(group))
@@ -162,7 +162,7 @@
 
 
 def _name_faults(configuration: Configuration) -> Iterator[str]:
-    """Keys of businesses join names with a slash, so no name may hold one."""
+    """Yield invalid names; a slash separates names in the keys of businesses."""
     names = [*configuration.groups, *configuration.pools]
     for group in configuration.groups.values():
         names.extend(endpoint.name for endpoint in group.endpoints)
@@ -177,7 +177,7 @@
 
 
 def _shared_business_faults(configuration: Configuration) -> Iterator[str]:
-    """Endpoints tell businesses apart by name, so a group holds a name for one pool only."""
+    """Yield businesses that two pools place on one group, where they would share rows."""
     holders: dict[tuple[str, str], str] = {}
     for pool in configuration.pools.values():
         for business, group in pool.businesses.items():
--- a/wharftiller/core/configuration_changes.py
+++ b/wharftiller/core/configuration_changes.py
@@ -1,4 +1,4 @@
-"""Hold the newest configuration, and tell others what changed since theirs."""
+"""Hold the newest configuration and compute the changes since older ones."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from wharftiller.core.rendezvous import ranked
 
 CHANGES_KEPT = 1024
-"""Covers an hour apart at 13,000 changes a day; an older asker gets the whole."""
+"""Changes kept for incremental updates; an older requester gets the whole configuration."""
 
 RELAYS = 3
-"""Boxes of a data centre that watch the platform for the others."""
+"""Boxes per data centre that watch the platform for the others."""
 
 
 @attrs.frozen
 class ConfigurationChange:
-    """What leads from one generation to a later one.
+    """The difference between one generation of the configuration and a later one.
 
     Attributes
     ----------
     base : int
-        The generation it starts from; 0 when it is the whole configuration.
+        The generation it applies to; 0 if it holds the whole configuration.
     removed_groups, removed_pools : tuple of str
-        Names that are gone.
+        Names that the later generation lacks.
     """
 
     base: int
@@ -37,7 +37,7 @@
 
 
 def change_between(old: Configuration, new: Configuration) -> ConfigurationChange:
-    """Return the change that leads from ``old`` to ``new``."""
+    """Return the change from ``old`` to ``new``."""
     return ConfigurationChange(
         old.generation,
         new.generation,
@@ -49,7 +49,7 @@
 
 
 def changed(old: Configuration, change: ConfigurationChange) -> Configuration | None:
-    """Return ``old`` with ``change``; None if it starts from another generation."""
+    """Return ``old`` with ``change`` applied; None if it applies to another generation."""
     if change.base not in (0, old.generation):
         return None
     start = old if change.base else Configuration()
@@ -64,7 +64,7 @@
 
 @attrs.define
 class ConfigurationHolder:
-    """The newest configuration of this box; it never goes back a generation."""
+    """The newest configuration of this box; its generation never decreases."""
 
     _current: Configuration = attrs.field(factory=Configuration)
     _changes: collections.deque[ConfigurationChange] = attrs.field(
@@ -77,7 +77,7 @@
         return self._current
 
     def take(self, configuration: Configuration) -> bool:
-        """Put ``configuration`` in force if it is newer."""
+        """Apply ``configuration`` if it is newer; return whether it was."""
         if configuration.generation <= self._current.generation:
             return False
         if self._current.generation:
@@ -86,12 +86,12 @@
         return True
 
     def take_change(self, change: ConfigurationChange) -> bool:
-        """Put the result of ``change`` in force if it fits and is newer."""
+        """Apply ``change`` if its base matches and it is newer; return whether it was applied."""
         configuration = changed(self._current, change)
         return configuration is not None and self.take(configuration)
 
     def change_since(self, generation: int) -> ConfigurationChange:
-        """Return what leads from ``generation`` to the current configuration."""
+        """Return the change from ``generation`` to the current configuration."""
         if generation and any(change.base == generation for change in self._changes):
             return self._merged_since(generation)
         return change_between(Configuration(), self._current)
@@ -125,5 +125,5 @@
 
 
 def relays(data_centre: str, boxes: list[str]) -> list[str]:
-    """Return the boxes that watch the platform for ``data_centre``, in order."""
+    """Return the boxes that watch the platform for ``data_centre``, by rank."""
     return ranked(f"relay/{data_centre}", boxes)[:RELAYS]
--- a/wharftiller/core/detection.py
+++ b/wharftiller/core/detection.py
@@ -1,4 +1,4 @@
-"""Find a primary that is lost, or one that is to be changed while it is well."""
+"""Detect a lost primary or a due planned failover."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
     from wharftiller.core.watch_tables import WatchedGroup, WatchTables
 
 MAJORITY = 2
-"""Servers of three that have to agree."""
+"""Servers of a group of three that form a quorum."""
 
 RECENT_FRACTION = 0.5
-"""Age up to which a report says that a server is reached, as a part of the detection time."""
+"""Maximum age of a report that counts as contact, as a fraction of the detection time."""
 
 TARGET_LAG_RECORDS = 1_000
-"""A planned change waits for its target; it is not begun with one further behind."""
+"""Maximum lag of a planned failover's target at its start, in log records."""
 
 
 def _is_reachable(tables: WatchTables, name: str, now: float) -> bool:
@@ -26,12 +26,12 @@
 
 
 def primary_is_lost(tables: WatchTables, group: WatchedGroup, now: float, delay: float) -> bool:
-    """Return whether no server leads ``group`` any more, or none that the others can hear.
+    """Return whether ``group`` has lost its primary, or its replicas cannot reach it.
 
     Parameters
     ----------
     delay : float
-        Time by which this steward holds back so that another acts first, in seconds.
+        Extra time this steward waits so that one of lower rank acts first, in seconds.
     """
     silent_s = now - group.last_led_at
     answering_primary = group.primary if silent_s <= tables.detect_s * RECENT_FRACTION else None
@@ -60,7 +60,7 @@
 def _all_miss_primary(
     tables: WatchTables, group: WatchedGroup, reachable: list[str], delay: float
 ) -> bool:
-    """Return whether no replica hears the primary any more, though this box may."""
+    """Return whether all replicas have lost the primary, even if this box still reaches it."""
     if group.primary is None:
         return False
     min_silent_ms = (2 * tables.detect_s + delay) * 1000
@@ -75,7 +75,7 @@
 
 
 def find_planned_failover(tables: WatchTables, group: WatchedGroup) -> PlannedFailover | None:
-    """Return the change of primary that an operator or a leaving endpoint asks for."""
+    """Return the failover that an operator's plan or a leaving primary calls for, if any."""
     primary = tables.server(group.primary)
     if primary is None or primary.report is None:
         return None
--- a/wharftiller/core/intents.py
+++ b/wharftiller/core/intents.py
@@ -1,4 +1,4 @@
-"""Intents: what operators want, applied to a configuration to make a plan."""
+"""Operators' intents and their application to a configuration."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class ChangePool:
-    """Change a pool's rules, or give it groups and businesses; None leaves a part as it is."""
+    """Change a pool's rules, groups or businesses; a rule that is None stays as it is."""
 
     name: str
     read_rule: ReadRule | None = None
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class ChangePrimary:
-    """Have another endpoint lead a group, with no failed write."""
+    """Make another endpoint the primary of a group, without failed writes."""
 
     group: str
     endpoint: str
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class DrainEndpoint:
-    """Give an endpoint no new work; if it leads, another takes over first."""
+    """Send an endpoint no new work; if it is the primary, fail over first."""
 
     group: str
     endpoint: str
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class ReturnEndpoint:
-    """Give a drained endpoint work again."""
+    """Send work to a drained endpoint again."""
 
     group: str
     endpoint: str
@@ -107,12 +107,13 @@
 
 
 def apply_intent(configuration: Configuration, intent: Intent, plan: str) -> Configuration:
-    """Return the configuration that ``intent`` asks for; generations are set elsewhere.
+    """Return ``configuration`` with ``intent`` applied; the generation stays the same.
 
     Raises
     ------
     ConfigurationError
-        If it names what is not there, or what is there already.
+        If it names something that does not exist, creates something that does, or breaks
+        a rule of its kind.
     """
     groups = dict(configuration.groups)
     pools = dict(configuration.pools)
@@ -210,7 +211,7 @@
 
 
 def differences(old: Any, new: Any, path: str = "") -> list[str]:
-    """Return a line for every place where two JSON values differ."""
+    """Return a line for each path at which two JSON values differ."""
     if old == new:
         return []
     if isinstance(old, dict) and isinstance(new, dict):
--- a/wharftiller/core/membership.py
+++ b/wharftiller/core/membership.py
@@ -1,4 +1,4 @@
-"""Take in configurations: servers and groups come, change and leave."""
+"""Add, update and remove servers and groups as the configuration changes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def apply_configuration(tables: Tables, configuration: Configuration, now: float) -> None:
-    """Put ``configuration`` in force unless its generation is not newer."""
+    """Apply ``configuration`` if its generation is newer."""
     if configuration.generation <= tables.configuration.generation:
         return
     tables.configuration = configuration
@@ -44,7 +44,7 @@
 
 
 def forget_removed(tables: Tables) -> None:
-    """Drop groups that are configured no more, once nothing is under way on them."""
+    """Drop groups that are no longer configured, once no request or transaction uses them."""
     removed = [name for name in tables.groups if name not in tables.configuration.groups]
     for name in removed:
         if not _is_in_use(tables, name):
@@ -52,8 +52,8 @@
 
 
 def _is_in_use(tables: Tables, group: str) -> bool:
-    requests = any(row.group == group for row in tables.requests.values())
-    return requests or any(row.group == group for row in tables.transactions.values())
+    has_requests = any(row.group == group for row in tables.requests.values())
+    return has_requests or any(row.group == group for row in tables.transactions.values())
 
 
 def _forget_group(tables: Tables, group: str) -> None:
--- a/wharftiller/core/promotion.py
+++ b/wharftiller/core/promotion.py
@@ -1,7 +1,7 @@
-"""Order promotions: take a term, fence, choose, promote, record.
+"""Run promotions: take a term, fence a majority, choose a successor, promote and record it.
 
-Safety rests on terms and counting only; time decides nothing but who acts and
-when (docs/design/promotion.md).
+Safety depends on terms and majorities alone; time only decides which steward
+acts and when (docs/design/promotion.md).
 """
 
 from __future__ import annotations
@@ -44,20 +44,20 @@
     from wharftiller.core.watch_tables import WatchedGroup, WatchedServer, WatchTables
 
 RANK_DELAY_S = 0.25
-"""Each rank of steward waits this much longer before it acts, in seconds."""
+"""Delay added per rank of a steward before it acts, in seconds."""
 
 MAX_RANKS = 4
 ATTEMPT_S = 3.0
 PLANNED_ATTEMPT_S = 8.0
 LEASE_S = 1.0
-"""How long a term just taken by another steward is left to it, in seconds."""
+"""Time during which a term taken by another steward is left to it, in seconds."""
 
 SECOND_REPLICA_WAIT_S = 0.1
 QUIESCE_HOLD_MS = 2_000
 
 
 def advance(tables: WatchTables, group: WatchedGroup, now: float) -> None:
-    """Start an attempt if the primary is lost or a change is wanted, or push one on."""
+    """Start an attempt if a failover is due, or continue the one under way."""
     if not isinstance(group.step, Watching):
         _continue_attempt(tables, group, now)
         return
@@ -84,9 +84,9 @@
     group.started_at = now
     if planned is None:
         silent_s = now - group.last_led_at
-        text = f"has no primary answer for {silent_s:.1f} s; starting promotion"
+        text = f"primary has not answered for {silent_s:.1f} s; starting a promotion"
     else:
-        text = f"changes its primary to {planned.target} as planned"
+        text = f"starting the planned failover to {planned.target}"
     tables.emit(LogMessage(group.spec.name, text))
     _enter_step(group, Reading(), now)
     tables.emit(ReadRecord(group.spec.name))
@@ -100,9 +100,9 @@
 def abandon_attempt(
     tables: WatchTables, group: WatchedGroup, wait_s: float, now: float, why: str
 ) -> None:
-    """Give the attempt up and try again no sooner than ``wait_s`` seconds from now."""
+    """Abandon the attempt; the next one starts ``wait_s`` seconds from now at the earliest."""
     if not isinstance(group.step, Watching):
-        tables.emit(LogMessage(group.spec.name, f"promotion is given up: {why}"))
+        tables.emit(LogMessage(group.spec.name, f"promotion abandoned: {why}"))
     if isinstance(group.step, Quiescing | CatchingUp):
         group.outstanding_orders.clear()
         _send_order(tables, group, group.primary, Order.QUIESCE, level=0)
@@ -113,7 +113,7 @@
 def handle_record_read(
     tables: WatchTables, group: WatchedGroup, read: RecordRead, now: float
 ) -> None:
-    """Go on with the group's record, unless another steward is at work."""
+    """Take the next term from the record read, unless another steward is promoting."""
     if not isinstance(group.step, Reading):
         return
     if _abandon_if_led(tables, group, now):
@@ -136,13 +136,13 @@
         and group.planned.plan == read.record.done_plan
     ):
         group.done_plans.add(group.planned.plan)
-        abandon_attempt(tables, group, 0.0, now, "the change was carried out already")
+        abandon_attempt(tables, group, 0.0, now, "the planned failover was carried out already")
         return
     _take_term(tables, group, now)
 
 
 def _abandon_if_led(tables: WatchTables, group: WatchedGroup, now: float) -> bool:
-    """Give the attempt up if a primary has been heard since it began."""
+    """Abandon the attempt if a primary has answered since it began; return whether it did."""
     has_led = group.last_led_at >= group.started_at
     if group.planned is not None or not has_led or primary_is_lost(tables, group, now, 0.0):
         return False
@@ -151,7 +151,7 @@
 
 
 def _is_owned_by_another(tables: WatchTables, group: WatchedGroup, record: GroupRecord) -> bool:
-    """Return whether another steward takes a term, or has just led one this box knows not of."""
+    """Return whether another steward is taking a term, or took one newer than this box's."""
     if record.owner == tables.box:
         return False
     return record.state is LeadState.TAKING or record.term > group.term
@@ -168,7 +168,7 @@
         group.record, term=term, owner=tables.box, state=LeadState.TAKING, primary=""
     )
     group.record = claim
-    # A platform that came back from a copy may let two stewards take the same term.
+    # After the platform is restored from a copy, two stewards may take the same term.
     tables.attempts += 1
     group.attempt = f"{tables.process}.{tables.attempts}"
     _enter_step(group, TakingTerm(term), now)
@@ -178,7 +178,7 @@
 def handle_record_updated(
     tables: WatchTables, group: WatchedGroup, version: int, now: float
 ) -> None:
-    """Go on once the term is taken, or end once the primary is recorded."""
+    """Continue once the term is taken, or finish once the primary is recorded."""
     match group.step:
         case TakingTerm(term):
             group.version = version
@@ -194,7 +194,7 @@
             group.version = version
             if group.planned is not None and group.planned.plan:
                 group.done_plans.add(group.planned.plan)
-            tables.emit(LogMessage(group.spec.name, f"{chosen} leads term {term}, recorded"))
+            tables.emit(LogMessage(group.spec.name, f"recorded {chosen} as primary of term {term}"))
             _enter_step(group, Watching(), now)
             group.next_try_at = now
 
@@ -205,13 +205,13 @@
 
 
 def _continue_attempt(tables: WatchTables, group: WatchedGroup, now: float) -> None:
-    """Give the orders that the step misses, or give the attempt up when it takes too long."""
+    """Send the orders that the step still needs; abandon an attempt that takes too long."""
     max_s = ATTEMPT_S if group.planned is None else PLANNED_ATTEMPT_S
     if now - group.started_at > max_s:
         abandon_attempt(tables, group, tables.detect_s / 2, now, f"{max_s} s have passed")
         return
     if group.planned is not None and primary_is_lost(tables, group, now, 0.0):
-        abandon_attempt(tables, group, 0.0, now, "the primary was lost meanwhile")
+        abandon_attempt(tables, group, 0.0, now, "the primary was lost during the planned failover")
         return
     match group.step:
         case Quiescing(_, writes_too):
@@ -254,14 +254,14 @@
 def handle_order_lost(
     tables: WatchTables, group: WatchedGroup, lost: OrderLost, now: float
 ) -> None:
-    """Let the order be given again."""
+    """Allow the order to be sent again."""
     group.outstanding_orders.discard((lost.endpoint, lost.order))
 
 
 def handle_order_answered(
     tables: WatchTables, group: WatchedGroup, answered: OrderAnswered, now: float
 ) -> None:
-    """Take in a server's answer to an order of the step under way."""
+    """Apply a server's answer to an order of the current step."""
     group.outstanding_orders.discard((answered.endpoint, answered.order))
     report = answered.report
     match (group.step, answered.order):
@@ -280,7 +280,7 @@
                 _handle_promoted(tables, group, term, chosen, now)
             else:
                 abandon_attempt(
-                    tables, group, tables.detect_s / 2, now, f"{chosen} refuses to lead"
+                    tables, group, tables.detect_s / 2, now, f"{chosen} refused the promotion"
                 )
 
 
@@ -293,7 +293,7 @@
     now: float,
 ) -> None:
     if not answered.accepted:
-        abandon_attempt(tables, group, tables.detect_s / 2, now, "the primary refuses to quiesce")
+        abandon_attempt(tables, group, tables.detect_s / 2, now, "the primary refused to quiesce")
         return
     if not writes_too:
         if answered.report.open_transactions == 0:
@@ -322,7 +322,11 @@
     replies: dict[str, Report],
     now: float,
 ) -> None:
-    """Choose at once when a majority without the old primary, or every server, answered."""
+    """Choose at once if the replies so far already decide the choice.
+
+    They do with a majority besides the old primary, or with the planned target
+    among a majority.
+    """
     without_old = [name for name in replies if name != group.primary]
     target_in = group.planned is not None and group.planned.target in replies
     if len(without_old) >= MAJORITY or (target_in and len(replies) >= MAJORITY):
@@ -336,7 +340,7 @@
     replies: dict[str, Report],
     now: float,
 ) -> None:
-    """Choose the most advanced of a fenced majority."""
+    """Promote the most advanced server of a fenced majority."""
     if len(replies) < MAJORITY:
         return
     candidates = dict(replies)
@@ -344,7 +348,7 @@
     if len(others) >= MAJORITY:
         candidates = others
     chosen = max(candidates, key=lambda name: _candidate_key(tables, group, candidates[name]))
-    tables.emit(LogMessage(group.spec.name, f"{chosen} is chosen for term {term}"))
+    tables.emit(LogMessage(group.spec.name, f"chose {chosen} as primary of term {term}"))
     _enter_step(group, Promoting(term, chosen), now)
     _continue_attempt(tables, group, now)
 
@@ -396,7 +400,7 @@
 
 
 def redirect_replicas(tables: WatchTables, group: WatchedGroup, now: float) -> None:
-    """Tell servers that lack the newest term whom to follow."""
+    """Order replicas that lack the newest term or its primary to follow it."""
     primary = tables.server(group.primary)
     if primary is None or primary.report is None or primary.report.role is not Role.PRIMARY:
         return
--- a/wharftiller/core/rendezvous.py
+++ b/wharftiller/core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every box ranks the same boxes the same way, asking nobody."""
+"""Rendezvous hashing: every box ranks a set of names alike, without communication."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def ranked(key: str, names: Iterable[str]) -> list[str]:
-    """Return ``names`` by their weight for ``key``, heaviest first."""
+    """Return ``names`` by descending weight for ``key``."""
     return sorted(names, key=lambda name: (-_weight(key, name), name))
 
 
 def rank(key: str, names: Iterable[str], name: str) -> int:
-    """Return how many of ``names`` go before ``name`` for ``key``."""
+    """Return how many of ``names`` have a greater weight for ``key`` than ``name``."""
     own = _weight(key, name)
     return sum(1 for other in names if other != name and _weight(key, other) > own)
 
--- a/wharftiller/core/steward.py
+++ b/wharftiller/core/steward.py
@@ -1,4 +1,4 @@
-"""The steward's core: one step per input, returning what is to be done."""
+"""The steward's core: a state machine that maps each input to outputs."""
 
 from __future__ import annotations
 
@@ -34,28 +34,28 @@
     from wharftiller.core.configuration import Configuration
 
 PROBE_FRACTION = 0.2
-"""Time between two reports of a primary, as a part of the time to detect its loss."""
+"""Time between report requests to a primary, as a fraction of the detection time."""
 
 REPLICA_INTERVAL = 5
-"""A replica of a primary that leads is asked so many times less often."""
+"""Factor by which replicas are polled less often while their primary answers."""
 
 PAUSE_S = 0.6
-"""A gap between ticks beyond which this process must have been paused, in seconds."""
+"""Minimum gap between ticks that means the process was paused, in seconds."""
 
 PLATFORM_RETRY_S = 0.2
 
 
 class StewardCore:
-    """Decides for one steward; holds no socket and no clock.
+    """Decides what one steward does; uses no sockets and no clock.
 
     Parameters
     ----------
     box : str
         Name of the box.
     detect_s : float
-        Silence after which a primary is taken for lost, in seconds.
+        Time without an answer after which a primary counts as lost, in seconds.
     process : str
-        Id that no other process has or had; the box's name if left out.
+        Id that is unique over all processes and restarts; defaults to the box's name.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
 
     @property
     def tables(self) -> WatchTables:
-        """The rows, for the shell's views and for tests."""
+        """The steward's tables, for status views and tests."""
         return self._tables
 
     @property
@@ -75,7 +75,7 @@
         return any(not isinstance(group.step, Watching) for group in groups)
 
     def handle(self, message: StewardInput, now: float) -> list[StewardOutput]:
-        """Take one input at ``now`` (monotonic seconds) and return what is to be done."""
+        """Handle one input at ``now`` (monotonic seconds) and return the outputs."""
         match message:
             case ServerReported(name, _, report):
                 self._handle_report(name, report, now)
@@ -188,17 +188,17 @@
             promotion.redirect_replicas(self._tables, group, now)
 
     def _probe_s(self, group: WatchedGroup, name: str, now: float) -> float:
-        """Return the time between two reports of a server, in seconds.
+        """Return the polling interval of a server, in seconds.
 
-        While the primary says that it leads, replicas are asked seldom; once it
-        is silent all are asked at the primary's pace.
+        Replicas are polled less often while the primary answers, and at the
+        primary's interval once it does not.
         """
         probe_s = self._tables.detect_s * PROBE_FRACTION
         is_led = now - group.last_led_at <= 2 * probe_s and isinstance(group.step, Watching)
         return probe_s * REPLICA_INTERVAL if is_led and name != group.primary else probe_s
 
     def _reset_after_pause(self, now: float) -> None:
-        """After a pause of this process, give every primary a fresh chance to answer."""
+        """Restart every primary's detection time after a pause of this process."""
         ticked_at = self._tables.ticked_at
         self._tables.ticked_at = now
         if ticked_at is None or now - ticked_at < PAUSE_S:
--- a/wharftiller/core/steward_messages.py
+++ b/wharftiller/core/steward_messages.py
@@ -1,4 +1,4 @@
-"""What the steward's core is told (inputs) and what it asks to be done (outputs)."""
+"""Inputs and outputs of the steward's core."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Order(enum.Enum):
-    """What a steward orders of a server."""
+    """Kind of an order that a steward sends to a server."""
 
     FENCE = "fence"
     PROMOTE = "promote"
@@ -19,7 +19,7 @@
 
 
 class LeadState(enum.Enum):
-    """Whether a group's newest term has a primary yet."""
+    """Whether the newest term of a group already has a primary."""
 
     TAKING = "taking"
     LED = "led"
@@ -27,16 +27,16 @@
 
 @attrs.frozen
 class GroupRecord:
-    """A group's object in the platform.
+    """A group's record, stored as an object in the platform.
 
     Attributes
     ----------
     term : int
-        The newest term taken.
+        The newest term that was taken.
     owner : str
         The box whose steward took it.
     done_plan : str
-        The last operator's plan for a change of primary that was carried out.
+        The operator's last plan for a failover that was carried out.
     """
 
     term: int = 0
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class ServerReported:
-    """A server reported; ``sent_at`` is when it was asked, in seconds."""
+    """A server's report arrived; ``sent_at`` is when it was requested, in seconds."""
 
     endpoint: str
     sent_at: float
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class ServerSilent:
-    """A server did not report in time."""
+    """A server did not report before the timeout."""
 
     endpoint: str
     sent_at: float
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class RecordRead:
-    """A group's object was read; version 0 means there is none."""
+    """A group's record was read; version 0 means that there is none."""
 
     group: str
     version: int
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class RecordUpdated:
-    """A group's object was updated and is now at ``version``."""
+    """A group's record was updated and is now at ``version``."""
 
     group: str
     version: int
@@ -85,7 +85,7 @@
 
 @attrs.frozen
 class RecordConflict:
-    """Another steward has updated a group's object."""
+    """Another steward has updated a group's record."""
 
     group: str
 
@@ -111,7 +111,7 @@
 
 @attrs.frozen
 class OrderLost:
-    """No answer to an order came; it may have taken effect."""
+    """An order got no answer; it may have taken effect."""
 
     group: str
     endpoint: str
@@ -121,7 +121,7 @@
 
 @attrs.frozen
 class BoxesPlaced:
-    """The platform's lagging list: the data centre of each box that is not leaving."""
+    """The data centre of each box that is not leaving, from the platform's list, which may lag."""
 
     boxes: dict[str, str]
 
@@ -145,7 +145,7 @@
 
 @attrs.frozen
 class AskReport:
-    """Ask a server for a report."""
+    """Request a report from a server."""
 
     endpoint: str
     address: str
@@ -153,14 +153,14 @@
 
 @attrs.frozen
 class ReadRecord:
-    """Read a group's object."""
+    """Read a group's record."""
 
     group: str
 
 
 @attrs.frozen
 class UpdateRecord:
-    """Update a group's object if it is at ``if_version``."""
+    """Update a group's record if it is at ``if_version``."""
 
     group: str
     record: GroupRecord
@@ -169,16 +169,17 @@
 
 @attrs.frozen
 class GiveOrder:
-    """Order a server to fence, lead, follow or quiesce.
+    """Send a server an order.
 
     Attributes
     ----------
     primary_address : str
         For ``FOLLOW``, the control address of the primary.
     level, hold_ms : int
-        For ``QUIESCE``: 1 refuses new transactions, 2 all writes, for so long.
+        For ``QUIESCE``: level 1 refuses new transactions, 2 all writes, for ``hold_ms``.
     attempt : str
-        For ``FENCE`` and ``PROMOTE``: who took the term, as a server promises it to one only.
+        For ``FENCE`` and ``PROMOTE``: id of the attempt that took the term; a server promises
+        a term to one attempt only.
     """
 
     group: str
@@ -194,7 +195,7 @@
 
 @attrs.frozen
 class NoticePrimary:
-    """Tell proxies who leads a group."""
+    """Announce a group's primary to the proxies."""
 
     group: str
     term: int
@@ -203,7 +204,7 @@
 
 @attrs.frozen
 class LogMessage:
-    """Log a step, for people."""
+    """Write a line to the log."""
 
     group: str
     text: str
--- a/wharftiller/core/watch_tables.py
+++ b/wharftiller/core/watch_tables.py
@@ -1,4 +1,4 @@
-"""The steward's tables: watched groups and servers, and the steps of a promotion."""
+"""State of the steward: watched groups and servers, and the steps of a promotion."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Watching:
-    """Nothing is under way."""
+    """No promotion is under way."""
 
 
 @attrs.frozen
@@ -31,12 +31,12 @@
 
 @attrs.frozen
 class Quiescing:
-    """A planned change: the old primary finishes what it has.
+    """In a planned failover, the old primary finishes the work it has.
 
     Attributes
     ----------
     writes_too : bool
-        False while only new transactions are refused.
+        Whether it refuses all writes, or new transactions only.
     """
 
     term: int
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class CatchingUp:
-    """A planned change: the target's log has to reach ``position``."""
+    """In a planned failover, the target's log has to reach ``position``."""
 
     term: int
     position: int
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Fencing:
-    """Servers are asked to refuse everything below the term."""
+    """Servers are ordered to refuse every lower term."""
 
     term: int
     started_at: float
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class Promoting:
-    """The chosen server is asked to lead."""
+    """The chosen server is ordered to become the primary."""
 
     term: int
     chosen: str
@@ -81,14 +81,14 @@
 
 @attrs.frozen
 class PlannedFailover:
-    """A change of primary that is wanted while the primary is well.
+    """A failover that is requested while the primary is healthy.
 
     Attributes
     ----------
     target : str
-        The server to lead.
+        The server that becomes the primary.
     plan : str
-        The operator's plan, or empty when an endpoint is leaving.
+        The operator's plan; empty if the primary is leaving.
     """
 
     target: str
@@ -97,16 +97,16 @@
 
 @attrs.define
 class WatchedServer:
-    """What the steward knows of a server.
+    """The steward's view of a server.
 
     Attributes
     ----------
     last_contact_at : float
         When its last report arrived, in seconds.
     asked_at : float or None
-        When the report that is outstanding was asked for.
+        When the outstanding report request was sent, in seconds.
     followed_at : float
-        When it was last told whom to follow.
+        When a follow order was last sent, in seconds.
     """
 
     name: str
@@ -122,18 +122,18 @@
 
 @attrs.define
 class WatchedGroup:
-    """What the steward knows and does for a group.
+    """The steward's view of a group and the state of its promotion.
 
     Attributes
     ----------
     last_led_at : float
-        When a server last said that it leads the newest term, in seconds.
+        When a server last reported that it is the primary of the newest term, in seconds.
     version : int
         Version of the group's record that the attempt is based on.
     record_seen : tuple of int and float
-        The newest version read and when it was first seen.
+        The newest version of the record and when it was first read.
     attempt : str
-        Id of the attempt that took the newest term of this steward's; no other ever has it.
+        Unique id of the attempt in which this steward took its newest term.
     wish : Wish or None
         What the attempt under way is for; None when the primary is lost.
     """
@@ -156,27 +156,27 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """The group's servers."""
+        """Names of the group's servers."""
         return tuple(endpoint.name for endpoint in self.spec.endpoints)
 
     @property
     def data_centres(self) -> frozenset[str]:
-        """The data centres that hold them."""
+        """Data centres that hold the group's servers."""
         return frozenset(endpoint.data_centre for endpoint in self.spec.endpoints)
 
 
 @attrs.define
 class WatchTables:
-    """All rows of one steward.
+    """All state of one steward.
 
     Attributes
     ----------
     process : str
-        Id of the steward's process.
+        Unique id of the steward's process.
     boxes : dict of str to str
-        Data centre by box, from the platform's lagging list.
+        Data centre by box, from the platform's list, which may lag.
     attempts : int
-        Terms that the process took or tried to take, in all groups.
+        Attempts of the process to take a term, in all groups.
     """
 
     box: str
@@ -193,22 +193,22 @@
     _ranks: dict[tuple[int, frozenset[str]], int | None] = attrs.field(factory=dict)
 
     def set_boxes(self, boxes: dict[str, str]) -> None:
-        """Take in a list of boxes."""
+        """Replace the data centres of the boxes."""
         if boxes != self.boxes:
             self.boxes = boxes
             self._ranks.clear()
 
     def rank_for(self, group: WatchedGroup) -> int | None:
-        """Return this steward's rank among the watchers of ``group``; None if it is none."""
+        """Return this steward's rank among the watchers of ``group``; None if it does not watch."""
         key = (watch_shard(group.spec.name), group.data_centres)
         if key not in self._ranks:
             self._ranks[key] = watch_rank(key[0], self.boxes, self.box, group.data_centres)
         return self._ranks[key]
 
     def emit(self, output: StewardOutput) -> None:
-        """Ask for something to be done."""
+        """Add an output of the current input."""
         self.outputs.append(output)
 
     def server(self, name: str | None) -> WatchedServer | None:
-        """Return a server's row."""
+        """Return the server called ``name``, if there is one."""
         return self.servers.get(name) if name else None
--- a/wharftiller/core/watching.py
+++ b/wharftiller/core/watching.py
@@ -1,8 +1,8 @@
-"""Which stewards watch a group: a few in each data centre that holds its endpoints.
+"""Assign stewards to groups: a few in each data centre that holds the group's endpoints.
 
-Every box ranks them the same way, asking nobody. Groups are put into a fixed
-number of shards, and boxes are ranked a shard, so that a changed list of boxes
-costs the same however many groups there are.
+Every box computes the same assignment without communication. Boxes are ranked
+per shard of groups, so that the cost of a changed list of boxes does not depend
+on the number of groups.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 WATCH_SHARDS = 256
 WATCHERS = 2
-"""Stewards of each data centre that watch a group."""
+"""Stewards that watch a group, per data centre."""
 
 
 def watch_shard(group: str) -> int:
@@ -24,15 +24,15 @@
 def watch_rank(
     shard: int, boxes: dict[str, str], box: str, endpoint_data_centres: frozenset[str]
 ) -> int | None:
-    """Return how many other watchers of a shard act before ``box``; None if it does not watch.
+    """Return the rank of ``box`` among the watchers of a shard; None if it does not watch.
 
     Parameters
     ----------
     boxes : dict of str to str
-        Data centre by box. While no list is known every box watches everything.
+        Data centre by box. If empty, every box watches every group.
     endpoint_data_centres : frozenset of str
-        Data centres that hold the group's endpoints; only their boxes watch,
-        unless none of them has a box.
+        Data centres that hold the group's endpoints. Only their boxes watch; if they
+        have no box, those of all data centres do.
     """
     if not boxes:
         return 0
--- a/wharftiller/decisions.py
+++ b/wharftiller/decisions.py
@@ -1,9 +1,9 @@
 """Structured logs of decisions: JSON lines on standard output, bounded, never blocking.
 
-Lines gather in a bounded buffer that a task empties. Everything out of the
-ordinary is written up to `PER_KIND_PER_S` lines a second and kind; ordinary
-answers are sampled by a hash of the request's id, so that every box samples the
-same requests. What was left out is counted and told.
+A task writes out a bounded buffer of lines. Unusual events are logged at up to
+`PER_KIND_PER_S` lines per second and kind; ordinary answers are sampled by a hash
+of the request's id, so that every box samples the same requests. Lines left out
+are counted and the counts logged.
 """
 
 from __future__ import annotations
@@ -28,36 +28,36 @@
     from wharftiller.core.sessions.statements import Reply, Statement
 
 BUFFER_LINES = 2_000
-"""Lines kept while standard output takes none: some 500 kB."""
+"""Maximum lines kept while standard output is blocked, about 500 kB."""
 
 PER_KIND_PER_S = 50
-"""Lines of one kind a second; a second of one box's busiest day has some 60 statements."""
+"""Maximum lines per second and kind."""
 
 SAMPLED_OF = 64
-"""One in so many ordinary answers is logged."""
+"""One of this many ordinary answers is logged."""
 
 CHUNK_BYTES = 4_096
-"""Bytes that a write to a pipe takes or refuses as a whole (PIPE_BUF of the system)."""
+"""Maximum bytes of an atomic write to a pipe (``PIPE_BUF``)."""
 
 FLUSH_S = 0.5
 """Time between writes to standard output, in seconds."""
 
 SLOW_S = 0.5
-"""An answer that took longer is always logged, in seconds."""
+"""Answers that take at least this long are always logged, in seconds."""
 
 
 class DecisionLog:
-    """The log of one process.
+    """The decision log of one process.
 
     Parameters
     ----------
     write : callable
-        Writes bytes and returns how many it took; raises `BlockingIOError` if none.
+        Writes bytes and returns how many it wrote; raises `BlockingIOError` if none.
 
     Attributes
     ----------
     counts : collections.Counter
-        Events by name, those left out of the log included.
+        Events by name, including those left out of the log.
     """
 
     def __init__(self, part: str, box: str, write: Callable[[bytes], int] | None = None) -> None:
@@ -73,12 +73,12 @@
         self._left_out: collections.Counter[str] = collections.Counter()
 
     def change(self, event: str, **fields: Any) -> None:
-        """Log something that changes what the process believes; never left out."""
+        """Log a change of the process's view; never rate-limited."""
         self.counts[event] += 1
         self._write(event, fields)
 
     def event(self, event: str, **fields: Any) -> None:
-        """Log something out of the ordinary, up to the rate of its kind."""
+        """Log an unusual event, up to the rate limit of its kind."""
         self.counts[event] += 1
         window = int(trio.current_time())
         if window != self._window:
@@ -100,14 +100,14 @@
         goal_s: float,
         believed: Callable[[], dict[str, Any]],
     ) -> None:
-        """Log how a statement ended, if it is out of the ordinary or sampled.
+        """Log the outcome of a statement, if it is unusual or sampled.
 
         Parameters
         ----------
         goal_s : float
-            The route's latency goal; an answer that took longer is always logged.
+            The route's latency goal; an answer that takes at least as long is always logged.
         believed : callable
-            Returns what the box believed that decided the outcome, with its age or version.
+            Returns the fields of the box's view that decided the outcome, with ages or versions.
         """
         refusal = reply.refusal
         is_late = took_s >= min(SLOW_S, goal_s)
@@ -149,13 +149,13 @@
         self._lines.append(self._formatter.format(record))
 
     async def flush_for_ever(self) -> None:
-        """Write the lines out as standard output takes them."""
+        """Flush the lines to standard output periodically."""
         while True:
             self.flush()
             await trio.sleep(FLUSH_S)
 
     def flush(self) -> None:
-        """Write what standard output takes at once, whole lines at a time; keep the rest."""
+        """Write whole lines until standard output would block; keep the rest."""
         self._pending.extend((line + "\n").encode() for line in self._lines)
         self._lines.clear()
         while self._pending:
@@ -171,7 +171,7 @@
             self._left_out["output_blocked"] += 1
 
     def _next_chunk(self) -> bytes:
-        """Return as many whole lines as one write takes or refuses as a whole."""
+        """Return the next whole lines that fit one atomic write."""
         chunk = b""
         for line in self._pending:
             if chunk and len(chunk) + len(line) > CHUNK_BYTES:
@@ -185,5 +185,5 @@
 
 
 def is_sampled(request_id: str) -> bool:
-    """Return whether ordinary answers to ``request_id`` are logged, on every box."""
+    """Return whether ordinary answers to ``request_id`` are logged; the same on every box."""
     return zlib.crc32(request_id.encode()) % SAMPLED_OF == 0
--- a/wharftiller/keys.py
+++ b/wharftiller/keys.py
@@ -1,8 +1,8 @@
 """Keys of businesses, operators and boxes, and signed session tokens.
 
-One ring of secrets serves all: the current secret signs, every secret of the
-ring verifies, so a secret is rotated by adding the new one everywhere, then
-making it current, then dropping the old one.
+All are derived from one ring of secrets: the current secret signs, every secret
+verifies. To rotate, add the new secret on every box, make it current, then drop
+the old one.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 @attrs.frozen
 class KeyRing:
-    """Secrets by id, and the id of the one that signs.
+    """Secrets by id, and the id of the one used for signing.
 
     Attributes
     ----------
     secrets : dict of str to str
-        At least 16 characters each.
+        Secrets of at least 16 characters, by id.
     """
 
     current: str
     secrets: dict[str, str]
 
     def mint(self, purpose: str, name: str) -> str:
-        """Return the key of ``name`` for ``purpose`` (``business``, ``peer`` …)."""
+        """Return the key of ``name`` for ``purpose`` (``business``, ``operator``, ``peer``)."""
         return f"{self.current}.{self._mac(self.current, purpose, name)}"
 
     def check(self, purpose: str, name: str, key: str) -> None:
@@ -73,7 +73,7 @@
         Raises
         ------
         TokenError
-            If it is damaged, forged, or another business's.
+            If it is damaged, has no valid signature, or is of another business.
         """
         session = self._verified_session(token)
         if (session.pool, session.business) != (pool, business):
@@ -108,7 +108,7 @@
     Raises
     ------
     AuthenticationError
-        If there is none.
+        If the header is missing.
     """
     kind, _, key = headers.get("authorization", "").partition(" ")
     if kind.lower() != "bearer" or not key:
@@ -117,5 +117,5 @@
 
 
 def bearer_header(key: str) -> dict[str, str]:
-    """Return the headers that carry ``key``."""
+    """Return the headers that send ``key``."""
     return {"authorization": f"Bearer {key}"}
--- a/wharftiller/logs.py
+++ b/wharftiller/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: short sentences with a fixed prefix for each part."""
+"""Structured logs: sentences prefixed with the component's name."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class ComponentLog(logging.LoggerAdapter[logging.Logger]):
-    """Logs for one part; keyword ``fields`` become fields of the line."""
+    """Logger of one component; the entries of ``fields`` become fields of the line."""
 
     def process(self, msg: Any, kwargs: Any) -> tuple[Any, Any]:
-        """Put the part's prefix before the sentence."""
+        """Prefix the message with the component's name."""
         fields = kwargs.pop("fields", {})
         kwargs["extra"] = {**(self.extra or {}), **fields}
         return f"{(self.extra or {})['part']}: {msg}", kwargs
 
 
 def component_log(part: str, box: str) -> ComponentLog:
-    """Return the log of a part (``proxy``, ``steward``, ``admin``) on a box."""
+    """Return the logger of a component (``proxy``, ``steward``, ``admin``) on a box."""
     return ComponentLog(logging.getLogger(f"wharftiller.{part}"), {"part": part, "box": box})
 
 
--- a/wharftiller/metrics.py
+++ b/wharftiller/metrics.py
@@ -10,7 +10,7 @@
 
 
 class Metrics:
-    """Counters and gauges of one part; sends nothing without an address."""
+    """Counters and gauges of one component; sends nothing if the address is empty."""
 
     def __init__(self, address: str, part: str) -> None:
         self._client: statsd.StatsClient | None = None
@@ -20,7 +20,7 @@
             self._client = statsd.StatsClient(host, port, prefix=f"wharftiller.{part}")
 
     def publish(self, counters: Counter[str], gauges: dict[str, float]) -> None:
-        """Send what has been counted since the last call, and the gauges."""
+        """Send the counters' increases since the last call, and the gauges."""
         if self._client is None:
             return
         with self._client.pipeline() as pipe:
--- a/wharftiller/request_timeline.py
+++ b/wharftiller/request_timeline.py
@@ -1,4 +1,4 @@
-"""Put together one request's story from the decision logs of several boxes."""
+"""Assemble the timeline of one request from the decision logs of several boxes."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 import attrs
 
 CONTEXT_BEFORE_S = 3.0
-"""How long before a request's first line other events may have led to it, in seconds."""
+"""Time before the start of a request from which other events are included, in seconds."""
 
 CONTEXT_AFTER_S = 0.5
-"""How long after its last line they may still tell the cause, in seconds."""
+"""Time after its last line up to which other events are included, in seconds."""
 
 REQUEST_EVENTS = frozenset(
     {
@@ -24,7 +24,7 @@
         "rollback_failed",
     }
 )
-"""Events that tell of requests; all others tell of what a box believes."""
+"""Events about single requests or the log; all others are about a box's view."""
 
 
 @attrs.frozen
@@ -36,7 +36,7 @@
     at : float
         Time of day, in seconds.
     fields : dict
-        Everything else the line says.
+        All other fields of the line.
     """
 
     at: float
@@ -51,7 +51,7 @@
 
 
 def read_events(lines: Iterable[str]) -> Iterator[LoggedEvent]:
-    """Yield the events among ``lines``; what stands before the JSON, as collectors add, is cut."""
+    """Yield the events among ``lines``; ignore prefixes that log collectors add."""
     for line in lines:
         start = line.find('{"event"')
         if start < 0:
@@ -66,7 +66,7 @@
 
 
 def timeline_of(request_id: str, events: Iterable[LoggedEvent]) -> list[LoggedEvent]:
-    """Return the request's events and what its boxes came to believe around them, in order."""
+    """Return the request's events and its boxes' changes of view around them, by time."""
     ordered = sorted(events, key=lambda each: each.at)
     own = [each for each in ordered if each.fields.get("request") == request_id]
     if not own:
--- a/wharftiller/run_losses.py
+++ b/wharftiller/run_losses.py
@@ -1,4 +1,4 @@
-"""What was not served within its goal in a run: by cause and moment, from the boxes' logs."""
+"""Statements not served within their goal in a run, by cause and time, from the boxes' logs."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from wharftiller.request_timeline import LoggedEvent
 
 SLICE_S = 2.0
-"""Time that one row stands for, in seconds."""
+"""Length of a time slice, in seconds."""
 
 NOT_LOGGED = "not logged"
-"""Cause of what was left out of the logs by rate: counted, its cause is not told."""
+"""Cause of statements whose lines the rate limit dropped; only their count is logged."""
 
 SLOW = "slow"
-"""Cause of a late answer about whose primary nothing out of the ordinary was known."""
+"""Cause of a late answer while the primary was in contact."""
 
 CONNECTION_LIMIT = "door"
-"""Cause of callers that found no room for a session."""
+"""Cause of connections refused at the connection limit."""
 
 UNSUCCESSFUL_EVENTS = ("refused", "unsettled")
 """Events of statements that ended without a result."""
@@ -33,17 +33,17 @@
 
 @attrs.define
 class Loss:
-    """Statements of one cause in one slice of time.
+    """Statements of one cause in one time slice.
 
     Attributes
     ----------
     begin : float
         Start of the slice, in seconds after the first line.
     refused, unknown, late : int
-        Refused, without a known outcome, and answered later than their goal.
+        Statements refused, with an unknown outcome, and answered later than their goal.
     too_early : int
-        Of the refused, those whose primary had been silent for less time than it takes
-        until it may be replaced: no box could have served them elsewhere.
+        Refused statements whose primary had not been silent long enough for a failover:
+        no box could have served them.
     """
 
     begin: float
@@ -55,12 +55,12 @@
 
     @property
     def total(self) -> int:
-        """All statements of it."""
+        """All statements of the row."""
         return self.refused + self.unknown + self.late
 
 
 def losses_of(events: Iterable[LoggedEvent], first: float) -> list[Loss]:
-    """Return every loss in order of time; ``first`` is the first line's time, in seconds."""
+    """Return the losses by time; ``first`` is the first line's time, in seconds."""
     losses: dict[tuple[float, str], Loss] = {}
 
     def loss(event: LoggedEvent, cause: str) -> Loss:
@@ -93,7 +93,7 @@
 
 
 def _cause_of(fields: dict[str, object]) -> str:
-    """Return the cause told; where an endpoint itself refused, its reason."""
+    """Return the logged cause, or the reason if an endpoint itself refused."""
     return str(fields.get("cause") or fields.get("reason"))
 
 
--- a/wharftiller/run_report.py
+++ b/wharftiller/run_report.py
@@ -1,4 +1,4 @@
-"""Tables of a run from the decision logs of its boxes: who served reads, gaps, refusals."""
+"""Report of a run from its boxes' decision logs: reads by server, failovers, refusals."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class ReadShare:
-    """Who served the sampled reads of one kind of reading."""
+    """Sampled reads of one consistency, by the role of the server."""
 
     reading: str
     by_replicas: int
@@ -26,21 +26,21 @@
 
     @property
     def part(self) -> float:
-        """Part of the reads that replicas served."""
+        """Fraction of the reads that replicas served."""
         return self.by_replicas / max(1, self.by_replicas + self.by_primaries)
 
 
 @attrs.frozen
 class Failover:
-    """One promotion that was ordered.
+    """One failover.
 
     Attributes
     ----------
     silent_s : float or None
-        Time from the first box that found the old primary silent to its record of the
-        new one, in seconds; None for a planned change or where no box told.
+        Time from the last log line that the old primary was silent until the new one was
+        recorded, in seconds; None if no box logged such a line.
     change_s : float
-        Time from the decision to the record, in seconds.
+        Time from the start of the failover until it was recorded, in seconds.
     """
 
     group: str
@@ -53,14 +53,15 @@
 
 @attrs.frozen
 class RunReport:
-    """What the logs of a run tell.
+    """Summary of a run's logs.
 
     Attributes
     ----------
     refusals : dict
-        Refused statements by slice of time (start in seconds after the first line) and reason.
+        Refused or unsettled statements by start of the time slice, in seconds after the first
+        line, and reason.
     losses : list of Loss
-        What was not served within its goal, by cause and slice of time.
+        Statements not served within their goal, by cause and time slice.
     """
 
     reads: list[ReadShare]
@@ -70,7 +71,7 @@
 
 
 def report_of(events: Iterable[LoggedEvent]) -> RunReport:
-    """Return the report of a run; lines that were left out by rate are not in it."""
+    """Return the report of a run; lines dropped by the rate limit are missing from its counts."""
     ordered = sorted(events, key=lambda each: each.at)
     first = ordered[0].at if ordered else 0.0
     refusals = _refusals(ordered, first)
@@ -82,7 +83,7 @@
     for event in events:
         fields = event.fields
         if event.event != "answered" or not is_sampled(str(fields.get("request"))):
-            # Slow answers are logged whatever their id: they would count for too much.
+            # Slow answers are logged regardless of sampling and would bias the fractions.
             continue
         if fields.get("access") == "read" and fields.get("endpoint"):
             by_primary = fields["endpoint"] == fields.get("lead")
--- a/wharftiller/settings.py
+++ b/wharftiller/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a box: JSON with comments, every value checked, all faults told together."""
+"""Settings of a box: JSON with comments, validated with all faults reported together."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 
 class SettingsErrorGroup(ExceptionGroup[SettingError]):
-    """Every fault of a settings file."""
+    """All faults of a settings file."""
 
 
 @attrs.frozen
 class BoxSettings:
-    """Who this box is."""
+    """Identity of the box."""
 
     name: str
     data_centre: str
@@ -50,12 +50,12 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform is.
+    """Connection to the platform.
 
     Attributes
     ----------
     list_lag_s : float
-        The platform's list of boxes is never further behind than this.
+        Maximum lag of the platform's list of boxes.
     """
 
     address: str
@@ -69,9 +69,9 @@
     Attributes
     ----------
     stop_unready_s : float
-        Time between turning unready and refusing new requests.
+        Time between reporting unready and refusing new requests.
     stop_longest_s : float
-        Time after which a stop waits for nothing any more.
+        Maximum duration of a graceful stop.
     """
 
     listen: str = "127.0.0.1:7100"
@@ -81,14 +81,14 @@
 
 @attrs.frozen
 class StewardSettings:
-    """The steward's address, its peers and its patience.
+    """The steward's address, peers and detection time.
 
     Attributes
     ----------
     peers : list of str
-        Stewards to ask for the configuration when the platform is away.
+        Stewards to request the configuration from while the platform is unavailable.
     detect_s : float
-        Silence after which a primary is taken for lost.
+        Time without an answer after which a primary counts as lost.
     """
 
     listen: str = "127.0.0.1:7200"
@@ -103,9 +103,9 @@
     Attributes
     ----------
     operators : list of str
-        Names whose keys are accepted.
+        Names of the operators whose keys are accepted.
     plan_expires_s : float
-        Time within which a plan may be confirmed.
+        Time within which a plan has to be confirmed.
     """
 
     listen: str = "127.0.0.1:7300"
@@ -115,21 +115,21 @@
 
 @attrs.frozen
 class LogSettings:
-    """How much is logged."""
+    """Log level: debug, info, warning or error."""
 
     level: str = "info"
 
 
 @attrs.frozen
 class MetricsSettings:
-    """Where metrics go; an empty address sends none."""
+    """Address of the statsd server; empty to send no metrics."""
 
     statsd: str = ""
 
 
 @attrs.frozen
 class Settings:
-    """Everything a box's daemons are told."""
+    """All settings of a box's daemons."""
 
     box: BoxSettings
     platform: PlatformSettings
@@ -147,7 +147,7 @@
     Raises
     ------
     SettingsErrorGroup
-        With one `SettingError` for every fault found.
+        With one `SettingError` per fault.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -163,7 +163,7 @@
     Raises
     ------
     SettingsErrorGroup
-        With one `SettingError` for every fault found.
+        With one `SettingError` per fault.
     """
     value = _parse_json(text)
     faults = list(_unknown_keys(value, Settings, "", text))
@@ -249,9 +249,9 @@
     if settings.logs.level not in ("debug", "info", "warning", "error"):
         detail = f"'logs.level' is {settings.logs.level!r}; use debug, info, warning or error"
         yield SettingError(detail, _line_of(text, "level"))
-    for name, figure in _positive_numbers(settings):
-        if not figure > 0:
-            detail = f"{name!r} is {figure}; use a number above 0"
+    for name, number in _positive_numbers(settings):
+        if not number > 0:
+            detail = f"{name!r} is {number}; use a number above 0"
             yield SettingError(detail, _line_of(text, name.rpartition(".")[2]))
 
 
--- a/wharftiller/traces.py
+++ b/wharftiller/traces.py
@@ -1,8 +1,8 @@
-"""Record what a proxy's core was told and what it asked for, and replay it.
+"""Record the inputs and outputs of a proxy's core and replay them.
 
-A trace is a text file of JSON lines: a header, then a line an input with its
-time and the outputs it led to. The core has no clock and no I/O, so a replay
-gives the same outputs, byte for byte, or shows where it differs.
+A trace is a text file of JSON lines: a header, then a line per input with its
+time and outputs. The core has no clock and no I/O, so a replay of unchanged code
+gives the same outputs, byte for byte.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 @attrs.frozen
 class TraceHeader:
-    """What a core is made from.
+    """Parameters of the recorded core.
 
     Attributes
     ----------
     about : str
-        What the trace shows, for people.
+        Description of the trace.
     """
 
     box: str
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class TraceLine:
-    """One input, when it came, and the outputs that were recorded."""
+    """One input, its time in seconds, and the recorded outputs."""
 
     at: float
     message: Input
@@ -50,14 +50,14 @@
 
 
 class TraceRecorder:
-    """Writes a trace as a core works."""
+    """Writes the steps of a running core to a trace."""
 
     def __init__(self, file: TextIO, header: TraceHeader) -> None:
         self._file = file
         self._write({"header": to_json(header)})
 
     def record(self, at: float, message: Input, outputs: list[Output], *, idle: bool) -> None:
-        """Write one step, unless it is a tick at which nothing was under way (``idle``)."""
+        """Write one step, unless it is a tick of an ``idle`` core without outputs."""
         if idle and not outputs and isinstance(message, messages.Tick):
             return
         self._write(
@@ -74,7 +74,7 @@
 
 
 def describe_output(output: Output) -> Any:
-    """Return an output as a JSON value that names its kind."""
+    """Return an output as a JSON value that includes its class name."""
     return {"kind": type(output).__name__, **to_json(output)}
 
 
@@ -84,7 +84,7 @@
     Raises
     ------
     BadRequestError
-        If it is no trace; the message names the line.
+        If the file is not a trace; the message names the line.
     """
     rows = path.read_text(encoding="utf-8").splitlines()
     lines = []
@@ -114,7 +114,7 @@
     Attributes
     ----------
     same : bool
-        Whether the outputs are those recorded.
+        Whether the outputs equal the recorded ones.
     """
 
     line: TraceLine
@@ -123,12 +123,12 @@
 
     @property
     def answers(self) -> list[AnswerCaller]:
-        """The final answers that the step gave."""
+        """The answers to callers among the outputs."""
         return [output for output in self.outputs if isinstance(output, AnswerCaller)]
 
 
 def replay(header: TraceHeader, lines: list[TraceLine]) -> Iterator[ReplayedStep]:
-    """Feed a trace to a new core and compare what it asks for."""
+    """Feed a trace to a new core and compare the outputs with the recorded ones."""
     core = ProxyCore(header.box, random.Random(header.seed), header.list_lag_s)
     for line in lines:
         outputs = core.handle(line.message, line.at)
