--- a/wharftiller/core/configuration.py
+++ b/wharftiller/core/configuration.py
@@ -171,7 +171,7 @@
     for name in names:
         if not NAME_PATTERN.fullmatch(name):
             yield (
-                f"{name!r} is no name; use up to 64 letters, digits, dots, hyphens and "
+                f"{name!r} is not a valid name; use up to 64 letters, digits, dots, hyphens and "
                 "underscores, beginning with a letter or digit."
             )
 
@@ -206,14 +206,14 @@
         )
     if not group.capabilities.fence:
         faults.append(
-            f"group {group.name!r} declares no fence; promotion is ordered by fences only. "
-            "Use endpoints that can be fenced."
+            f"group {group.name!r} does not support fencing, which promotions require. "
+            "Use endpoints that support it."
         )
     wanted = group.wanted_primary
     if wanted is not None and wanted.endpoint not in names:
         faults.append(
-            f"group {group.name!r} wants primary {wanted.endpoint!r}, which is none of {names}. "
-            "Name one of them."
+            f"group {group.name!r} wants primary {wanted.endpoint!r}, which is not one of "
+            f"{names}. Name one of them."
         )
     leaving = [endpoint.name for endpoint in group.endpoints if endpoint.leaving]
     if len(leaving) > 1:
@@ -230,14 +230,14 @@
     for group in pool.groups:
         if group not in configuration.groups:
             faults.append(
-                f"pool {pool.name!r} names group {group!r}, which is none of {known}. "
+                f"pool {pool.name!r} names group {group!r}, which is not one of {known}. "
                 "Create the group first."
             )
     for business, group in pool.businesses.items():
         if group not in pool.groups:
             faults.append(
                 f"pool {pool.name!r} places business {business!r} on group {group!r}, which is "
-                f"none of its groups {sorted(pool.groups)}. Place it on one of them."
+                f"not one of its groups {sorted(pool.groups)}. Place it on one of them."
             )
     if not 0 < pool.queue_rule.business_share <= 1:
         faults.append(
--- a/wharftiller/core/detection.py
+++ b/wharftiller/core/detection.py
@@ -15,7 +15,7 @@
 RECENT_FRACTION = 0.5
 """Maximum age of a report that counts as contact, as a fraction of the detection time."""
 
-TARGET_LAG_RECORDS = 1_000
+MAX_TARGET_LAG_RECORDS = 1_000
 """Maximum lag of a planned failover's target at its start, in log records."""
 
 
@@ -102,5 +102,5 @@
     report = server.report
     if name == group.primary or server.leaving or report is None or report.leaving:
         return False
-    is_close = _position(tables, group.primary or "") - report.position <= TARGET_LAG_RECORDS
+    is_close = _position(tables, group.primary or "") - report.position <= MAX_TARGET_LAG_RECORDS
     return report.settled and report.log_term == group.term and is_close
--- a/wharftiller/core/steward.py
+++ b/wharftiller/core/steward.py
@@ -39,7 +39,7 @@
 REPLICA_INTERVAL = 5
 """Factor by which replicas are polled less often while their primary answers."""
 
-PAUSE_S = 0.6
+MIN_PAUSE_S = 0.6
 """Minimum gap between ticks that means the process was paused, in seconds."""
 
 PLATFORM_RETRY_S = 0.2
@@ -201,7 +201,7 @@
         """Restart every primary's detection time after a pause of this process."""
         ticked_at = self._tables.ticked_at
         self._tables.ticked_at = now
-        if ticked_at is None or now - ticked_at < PAUSE_S:
+        if ticked_at is None or now - ticked_at < MIN_PAUSE_S:
             return
         for group in self._tables.groups.values():
             group.last_led_at = now
--- a/wharftiller/decisions.py
+++ b/wharftiller/decisions.py
@@ -1,9 +1,9 @@
 """Structured logs of decisions: JSON lines on standard output, bounded, never blocking.
 
-A task writes out a bounded buffer of lines. Unusual events are logged at up to
-`PER_KIND_PER_S` lines per second and kind; ordinary answers are sampled by a hash
-of the request's id, so that every box samples the same requests. Lines left out
-are counted and the counts logged.
+A task writes out a bounded buffer of lines. Unusual events are logged up to
+`MAX_LINES_PER_KIND_PER_S`; ordinary answers are sampled by a hash of the request's
+id, so that every box samples the same requests. Lines left out are counted and the
+counts logged.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 BUFFER_LINES = 2_000
 """Maximum lines kept while standard output is blocked, about 500 kB."""
 
-PER_KIND_PER_S = 50
+MAX_LINES_PER_KIND_PER_S = 50
 """Maximum lines per second and kind."""
 
-SAMPLED_OF = 64
+SAMPLE_INTERVAL = 64
 """One of this many ordinary answers is logged."""
 
 CHUNK_BYTES = 4_096
@@ -86,7 +86,7 @@
             self._written.clear()
             self._log_left_out()
         self._written[event] += 1
-        if self._written[event] > PER_KIND_PER_S:
+        if self._written[event] > MAX_LINES_PER_KIND_PER_S:
             self._left_out[event] += 1
             return
         self._write(event, fields)
@@ -106,7 +106,7 @@
         ----------
         goal_s : float
             The route's latency goal; an answer that takes at least as long is always logged.
-        believed : callable
+        view_fields : callable
             Returns the fields of the box's view that decided the outcome, with ages or versions.
         """
         refusal = reply.refusal
@@ -186,4 +186,4 @@
 
 def is_sampled(request_id: str) -> bool:
     """Return whether ordinary answers to ``request_id`` are logged; the same on every box."""
-    return zlib.crc32(request_id.encode()) % SAMPLED_OF == 0
+    return zlib.crc32(request_id.encode()) % SAMPLE_INTERVAL == 0
--- a/wharftiller/run_losses.py
+++ b/wharftiller/run_losses.py
@@ -59,12 +59,12 @@
         return self.refused + self.unknown + self.late
 
 
-def losses_of(events: Iterable[LoggedEvent], first: float) -> list[Loss]:
-    """Return the losses by time; ``first`` is the first line's time, in seconds."""
+def losses_of(events: Iterable[LoggedEvent], first_at: float) -> list[Loss]:
+    """Return the losses by time; ``first_at`` is the first line's time, in seconds."""
     losses: dict[tuple[float, str], Loss] = {}
 
     def loss(event: LoggedEvent, cause: str) -> Loss:
-        begin = (event.at - first) // SLICE_S * SLICE_S
+        begin = (event.at - first_at) // SLICE_S * SLICE_S
         return losses.setdefault((begin, cause), Loss(begin, cause))
 
     for event in events:
--- a/wharftiller/run_report.py
+++ b/wharftiller/run_report.py
@@ -73,9 +73,9 @@
 def report_of(events: Iterable[LoggedEvent]) -> RunReport:
     """Return the report of a run; lines dropped by the rate limit are missing from its counts."""
     ordered = sorted(events, key=lambda each: each.at)
-    first = ordered[0].at if ordered else 0.0
-    refusals = _refusals(ordered, first)
-    return RunReport(_reads(ordered), _failovers(ordered), refusals, losses_of(ordered, first))
+    first_at = ordered[0].at if ordered else 0.0
+    refusals = _refusals(ordered, first_at)
+    return RunReport(_reads(ordered), _failovers(ordered), refusals, losses_of(ordered, first_at))
 
 
 def _reads(events: list[LoggedEvent]) -> list[ReadShare]:
@@ -135,10 +135,10 @@
     return Failover(group, old, successor, planned, silent_s, written.at - start.at)
 
 
-def _refusals(events: list[LoggedEvent], first: float) -> dict[tuple[float, str], int]:
+def _refusals(events: list[LoggedEvent], first_at: float) -> dict[tuple[float, str], int]:
     counts: collections.Counter[tuple[float, str]] = collections.Counter()
     for event in events:
         if event.event in ("refused", "unsettled"):
-            begin = (event.at - first) // SLICE_S * SLICE_S
+            begin = (event.at - first_at) // SLICE_S * SLICE_S
             counts[begin, str(event.fields.get("reason"))] += 1
     return dict(sorted(counts.items()))
--- a/wharftiller/settings.py
+++ b/wharftiller/settings.py
@@ -187,7 +187,7 @@
         )
         raise SettingsErrorGroup("settings are not usable", [fault]) from None
     if not isinstance(value, dict):
-        fault = SettingError("the settings are no object; write { … }", 1)
+        fault = SettingError("the settings are not an object; write { … }", 1)
         raise SettingsErrorGroup("settings are not usable", [fault])
     return value
 
--- a/wharftiller/tests/core/test_intents.py
+++ b/wharftiller/tests/core/test_intents.py
@@ -70,7 +70,7 @@
     def test_invalid_name_is_refused(self, name: str) -> None:
         pool = PoolSpec("q", ("g",), {name: "g"})
         wanted = apply_intent(START, CreatePool(pool), "plan")
-        assert "is no name" in configuration_faults(wanted)[0]
+        assert "is not a valid name" in configuration_faults(wanted)[0]
 
     def test_business_of_two_pools_on_one_group_is_refused(self) -> None:
         pool = PoolSpec("q", ("g",), {"rila": "g"})
--- a/wharftiller/tests/test_decisions.py
+++ b/wharftiller/tests/test_decisions.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 
-from wharftiller.decisions import BUFFER_LINES, CHUNK_BYTES, PER_KIND_PER_S, DecisionLog
+from wharftiller.decisions import BUFFER_LINES, CHUNK_BYTES, MAX_LINES_PER_KIND_PER_S, DecisionLog
 
 
 class Output:
@@ -60,13 +60,13 @@
 
     def test_a_kind_is_written_up_to_its_rate_and_the_rest_counted(self) -> None:
         async def scenario(log: DecisionLog, output: Output) -> None:
-            for _ in range(PER_KIND_PER_S + 30):
+            for _ in range(MAX_LINES_PER_KIND_PER_S + 30):
                 log.event("no_status", endpoint="one")
             await trio.sleep(1.1)
             log.event("no_status", endpoint="one")
             log.flush()
 
         lines = [json.loads(line) for line in b"".join(run(scenario).chunks).splitlines()]
-        assert sum(line["event"] == "no_status" for line in lines) == PER_KIND_PER_S + 1
+        assert sum(line["event"] == "no_status" for line in lines) == MAX_LINES_PER_KIND_PER_S + 1
         left_out = [line for line in lines if line["event"] == "lines_left_out"]
         assert left_out[0]["counts"] == {"no_status": 30}
--- a/wharftiller/tests/test_traces.py
+++ b/wharftiller/tests/test_traces.py
@@ -39,7 +39,7 @@
     def test_damaged_line_is_named(self, tmp_path: Path) -> None:
         path = tmp_path / "t.jsonl"
         path.write_text(TRACES[0].read_text()[:2_000])
-        with pytest.raises(BadRequestError, match="is no line of a trace"):
+        with pytest.raises(BadRequestError, match="is not a line of a trace"):
             read_trace(path)
 
     def test_replay_command_prints_the_steps(self) -> None:
--- a/wharftiller/traces.py
+++ b/wharftiller/traces.py
@@ -99,7 +99,7 @@
             lines.append(TraceLine(value["at"], message, value["outputs"]))
         except Exception as error:
             raise BadRequestError(
-                f"{path}:{number} is no line of a trace: {error!r}. Record it with "
+                f"{path}:{number} is not a line of a trace: {error!r}. Record it with "
                 "'wharf-proxy --record'"
             ) from None
     if header is None:
