--- a/wharftiller/core/intents.py
+++ b/wharftiller/core/intents.py
@@ -1,4 +1,4 @@
-"""Intents: what operators want, applied to a configuration to make a plan."""
+"""Operators' intents and their application to a configuration."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class ChangePool:
-    """Change a pool's rules, or give it groups and businesses; None leaves a part as it is."""
+    """Change a pool's rules, groups or businesses; a rule that is None stays as it is."""
 
     name: str
     read_rule: ReadRule | None = None
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class ChangePrimary:
-    """Have another endpoint lead a group, with no failed write."""
+    """Make another endpoint the primary of a group, without failed writes."""
 
     group: str
     endpoint: str
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class DrainEndpoint:
-    """Give an endpoint no new work; if it leads, another takes over first."""
+    """Send an endpoint no new work; if it is the primary, fail over first."""
 
     group: str
     endpoint: str
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class ReturnEndpoint:
-    """Give a drained endpoint work again."""
+    """Send work to a drained endpoint again."""
 
     group: str
     endpoint: str
@@ -107,12 +107,13 @@
 
 
 def apply_intent(configuration: Configuration, intent: Intent, plan: str) -> Configuration:
-    """Return the configuration that ``intent`` asks for; generations are set elsewhere.
+    """Return ``configuration`` with ``intent`` applied; the generation stays the same.
 
     Raises
     ------
     ConfigurationError
-        If it names what is not there, or what is there already.
+        If it names something that does not exist, creates something that does, or breaks
+        a rule of its kind.
     """
     groups = dict(configuration.groups)
     pools = dict(configuration.pools)
@@ -121,37 +122,43 @@
             _expect_new("group", group.name, groups)
             groups[group.name] = group
         case RemoveGroup(name):
-            _known("group", name, groups)
+            _require_known("group", name, groups)
             _expect_unused(name, pools)
             del groups[name]
         case CreatePool(pool):
             _expect_new("pool", pool.name, pools)
             pools[pool.name] = pool
         case ChangePool():
-            pools[intent.name] = _changed_pool(_known("pool", intent.name, pools), intent)
+            pools[intent.name] = _apply_pool_change(
+                _require_known("pool", intent.name, pools), intent
+            )
         case RemovePool(name):
-            _known("pool", name, pools)
+            _require_known("pool", name, pools)
             del pools[name]
         case ChangePrimary(name, endpoint):
-            group = _known("group", name, groups)
+            group = _require_known("group", name, groups)
             _expect_endpoint(group, endpoint)
             groups[name] = attrs.evolve(group, wanted_primary=WantedPrimary(endpoint, plan))
         case DrainEndpoint(name, endpoint):
-            groups[name] = _with_leaving(_known("group", name, groups), endpoint, leaving=True)
+            groups[name] = _with_leaving(
+                _require_known("group", name, groups), endpoint, leaving=True
+            )
         case ReturnEndpoint(name, endpoint):
-            groups[name] = _with_leaving(_known("group", name, groups), endpoint, leaving=False)
+            groups[name] = _with_leaving(
+                _require_known("group", name, groups), endpoint, leaving=False
+            )
     return Configuration(configuration.generation, pools, groups)
 
 
-def _expect_new(what: str, name: str, existing: dict[str, Any]) -> None:
+def _expect_new(kind: str, name: str, existing: dict[str, Any]) -> None:
     if name in existing:
-        raise ConfigurationError(f"{what} {name!r} exists already. Change it, or pick another name")
+        raise ConfigurationError(f"{kind} {name!r} exists already. Change it, or pick another name")
 
 
-def _known(what: str, name: str, existing: dict[str, Any]) -> Any:
+def _require_known(kind: str, name: str, existing: dict[str, Any]) -> Any:
     if name not in existing:
         raise ConfigurationError(
-            f"{what} {name!r} is not configured; known are {sorted(existing)}. Check the spelling"
+            f"{kind} {name!r} is not configured; known are {sorted(existing)}. Check the spelling"
         )
     return existing[name]
 
@@ -179,15 +186,15 @@
     return attrs.evolve(group, endpoints=endpoints)
 
 
-def _changed_pool(pool: PoolSpec, change: ChangePool) -> PoolSpec:
-    moved = sorted(
+def _apply_pool_change(pool: PoolSpec, change: ChangePool) -> PoolSpec:
+    misplaced = sorted(
         name
         for name, group in change.add_businesses.items()
         if pool.businesses.get(name, group) != group
     )
-    if moved:
+    if misplaced:
         raise ConfigurationError(
-            f"businesses {moved} have rows on another group, which would be left behind. "
+            f"businesses {misplaced} have rows on another group, which would be left behind. "
             "Leave them where they are"
         )
     businesses = {**pool.businesses, **change.add_businesses}
@@ -204,7 +211,7 @@
 
 
 def differences(old: Any, new: Any, path: str = "") -> list[str]:
-    """Return a line for every place where two JSON values differ."""
+    """Return a line for each path at which two JSON values differ."""
     if old == new:
         return []
     if isinstance(old, dict) and isinstance(new, dict):
@@ -219,10 +226,10 @@
             for number, (left, right) in enumerate(zip(old, new, strict=True))
             for line in differences(left, right, f"{path}[{number}]")
         ]
-    return [f"{path}: {_short(old)} -> {_short(new)}"]
+    return [f"{path}: {_short_text(old)} -> {_short_text(new)}"]
 
 
-def _short(value: Any) -> str:
+def _short_text(value: Any) -> str:
     match value:
         case None:
             return "nothing"
--- a/wharftiller/core/watch_tables.py
+++ b/wharftiller/core/watch_tables.py
@@ -1,4 +1,4 @@
-"""The steward's tables: watched groups and servers, and the steps of a promotion."""
+"""State of the steward: watched groups and servers, and the steps of a promotion."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Watching:
-    """Nothing is under way."""
+    """No promotion is under way."""
 
 
 @attrs.frozen
@@ -31,12 +31,12 @@
 
 @attrs.frozen
 class Quiescing:
-    """A planned change: the old primary finishes what it has.
+    """In a planned failover, the old primary finishes the work it has.
 
     Attributes
     ----------
     writes_too : bool
-        False while only new transactions are refused.
+        Whether it refuses all writes, or new transactions only.
     """
 
     term: int
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class CatchingUp:
-    """A planned change: the target's log has to reach ``position``."""
+    """In a planned failover, the target's log has to reach ``position``."""
 
     term: int
     position: int
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Fencing:
-    """Servers are asked to refuse everything below the term."""
+    """Servers are ordered to refuse every lower term."""
 
     term: int
     started_at: float
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class Promoting:
-    """The chosen server is asked to lead."""
+    """The chosen server is ordered to become the primary."""
 
     term: int
     chosen: str
@@ -80,15 +80,15 @@
 
 
 @attrs.frozen
-class Wish:
-    """A change of primary that is wanted while the primary is well.
+class PlannedFailover:
+    """A failover that is requested while the primary is healthy.
 
     Attributes
     ----------
     target : str
-        The server to lead.
+        The server that becomes the primary.
     plan : str
-        The operator's plan, or empty when an endpoint is leaving.
+        The operator's plan; empty if the primary is leaving.
     """
 
     target: str
@@ -97,16 +97,16 @@
 
 @attrs.define
 class WatchedServer:
-    """What the steward knows of a server.
+    """The steward's view of a server.
 
     Attributes
     ----------
     last_contact_at : float
         When its last report arrived, in seconds.
     asked_at : float or None
-        When the report that is outstanding was asked for.
+        When the outstanding report request was sent, in seconds.
     followed_at : float
-        When it was last told whom to follow.
+        When a follow order was last sent, in seconds.
     """
 
     name: str
@@ -122,24 +122,26 @@
 
 @attrs.define
 class WatchedGroup:
-    """What the steward knows and does for a group.
+    """The steward's view of a group and the state of its promotion.
 
     Attributes
     ----------
-    led_at : float
-        When a server last said that it leads the newest term, in seconds.
+    last_led_at : float
+        When a server last reported that it is the primary of the newest term, in seconds.
     version : int
         Version of the group's record that the attempt is based on.
     record_seen : tuple of int and float
-        The newest version read and when it was first seen.
+        The newest version of the record and when it was first read.
     attempt : str
-        Id of the attempt that took the newest term of this steward's; no other ever has it.
-    wish : Wish or None
-        What the attempt under way is for; None when the primary is lost.
+        Unique id of the attempt in which this steward took its newest term.
+    planned : PlannedFailover or None
+        What the attempt under way carries out; None if the primary was lost.
+    planned_since : float or None
+        When a planned failover was first found due, in seconds.
     """
 
     spec: GroupSpec
-    led_at: float
+    last_led_at: float
     term: int = 0
     primary: str | None = None
     step: Step = Watching()
@@ -149,34 +151,34 @@
     record: GroupRecord = attrs.field(factory=GroupRecord)
     record_seen: tuple[int, float] = (0, 0.0)
     attempt: str = ""
-    wish: Wish | None = None
-    wished_at: float | None = None
+    planned: PlannedFailover | None = None
+    planned_since: float | None = None
     done_plans: set[str] = attrs.field(factory=set)
-    orders_out: set[tuple[str, Order]] = attrs.field(factory=set)
+    outstanding_orders: set[tuple[str, Order]] = attrs.field(factory=set)
 
     @property
     def names(self) -> tuple[str, ...]:
-        """The group's servers."""
+        """Names of the group's servers."""
         return tuple(endpoint.name for endpoint in self.spec.endpoints)
 
     @property
-    def places(self) -> frozenset[str]:
-        """The data centres that hold them."""
+    def data_centres(self) -> frozenset[str]:
+        """Data centres that hold the group's servers."""
         return frozenset(endpoint.data_centre for endpoint in self.spec.endpoints)
 
 
 @attrs.define
 class WatchTables:
-    """All rows of one steward.
+    """All state of one steward.
 
     Attributes
     ----------
     process : str
-        Id of the steward's process.
+        Unique id of the steward's process.
     boxes : dict of str to str
-        Data centre by box, from the platform's lagging list.
+        Data centre by box, from the platform's list, which may lag.
     attempts : int
-        Terms that the process took or tried to take, in all groups.
+        Attempts of the process to take a term, in all groups.
     """
 
     box: str
@@ -192,23 +194,23 @@
     outputs: list[StewardOutput] = attrs.field(factory=list)
     _ranks: dict[tuple[int, frozenset[str]], int | None] = attrs.field(factory=dict)
 
-    def place_boxes(self, boxes: dict[str, str]) -> None:
-        """Take in a list of boxes."""
+    def set_boxes(self, boxes: dict[str, str]) -> None:
+        """Replace the data centres of the boxes."""
         if boxes != self.boxes:
             self.boxes = boxes
             self._ranks.clear()
 
     def rank_for(self, group: WatchedGroup) -> int | None:
-        """Return this steward's rank among the watchers of ``group``; None if it is none."""
-        key = (watch_shard(group.spec.name), group.places)
+        """Return this steward's rank among the watchers of ``group``; None if it does not watch."""
+        key = (watch_shard(group.spec.name), group.data_centres)
         if key not in self._ranks:
-            self._ranks[key] = watch_rank(key[0], self.boxes, self.box, group.places)
+            self._ranks[key] = watch_rank(key[0], self.boxes, self.box, group.data_centres)
         return self._ranks[key]
 
     def emit(self, output: StewardOutput) -> None:
-        """Ask for something to be done."""
+        """Add an output of the current input."""
         self.outputs.append(output)
 
     def server(self, name: str | None) -> WatchedServer | None:
-        """Return a server's row."""
+        """Return the server called ``name``, if there is one."""
         return self.servers.get(name) if name else None
--- a/wharftiller/core/watching.py
+++ b/wharftiller/core/watching.py
@@ -1,8 +1,8 @@
-"""Which stewards watch a group: a few in each data centre that holds its endpoints.
+"""Assign stewards to groups: a few in each data centre that holds the group's endpoints.
 
-Every box ranks them the same way, asking nobody. Groups are put into a fixed
-number of shards, and boxes are ranked a shard, so that a changed list of boxes
-costs the same however many groups there are.
+Every box computes the same assignment without communication. Boxes are ranked
+per shard of groups, so that the cost of a changed list of boxes does not depend
+on the number of groups.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 WATCH_SHARDS = 256
 WATCHERS = 2
-"""Stewards of each data centre that watch a group."""
+"""Stewards that watch a group, per data centre."""
 
 
 def watch_shard(group: str) -> int:
@@ -22,27 +22,27 @@
 
 
 def watch_rank(
-    shard: int, boxes: dict[str, str], box: str, endpoint_places: frozenset[str]
+    shard: int, boxes: dict[str, str], box: str, endpoint_data_centres: frozenset[str]
 ) -> int | None:
-    """Return how many other watchers of a shard act before ``box``; None if it does not watch.
+    """Return the rank of ``box`` among the watchers of a shard; None if it does not watch.
 
     Parameters
     ----------
     boxes : dict of str to str
-        Data centre by box. While no list is known every box watches everything.
-    endpoint_places : frozenset of str
-        Data centres that hold the group's endpoints; only their boxes watch,
-        unless none of them has a box.
+        Data centre by box. If empty, every box watches every group.
+    endpoint_data_centres : frozenset of str
+        Data centres that hold the group's endpoints. Only their boxes watch; if they
+        have no box, those of all data centres do.
     """
     if not boxes:
         return 0
     data_centre = boxes.get(box)
-    places = endpoint_places & set(boxes.values()) or set(boxes.values())
-    if data_centre is None or data_centre not in places:
+    data_centres = endpoint_data_centres & set(boxes.values()) or set(boxes.values())
+    if data_centre is None or data_centre not in data_centres:
         return None
     key = f"watch/{shard}"
-    neighbours = [name for name, place in boxes.items() if place == data_centre]
-    here = rank(key, neighbours, box)
-    if here >= WATCHERS:
+    peers = [name for name, box_data_centre in boxes.items() if box_data_centre == data_centre]
+    local_rank = rank(key, peers, box)
+    if local_rank >= WATCHERS:
         return None
-    return ranked(key, places).index(data_centre) + len(places) * here
+    return ranked(key, data_centres).index(data_centre) + len(data_centres) * local_rank
--- a/wharftiller/run_losses.py
+++ b/wharftiller/run_losses.py
@@ -1,4 +1,4 @@
-"""What was not served within its goal in a run: by cause and moment, from the boxes' logs."""
+"""Statements not served within their goal in a run, by cause and time, from the boxes' logs."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
     from wharftiller.request_timeline import LoggedEvent
 
 SLICE_S = 2.0
-"""Time that one row stands for, in seconds."""
+"""Length of a time slice, in seconds."""
 
 NOT_LOGGED = "not logged"
-"""Cause of what was left out of the logs by rate: counted, its cause is not told."""
+"""Cause of statements whose lines the rate limit dropped; only their count is logged."""
 
 SLOW = "slow"
-"""Cause of a late answer about whose primary nothing out of the ordinary was known."""
+"""Cause of a late answer while the primary was in contact."""
 
-AT_THE_DOOR = "door"
-"""Cause of callers that found no room for a session."""
+CONNECTION_LIMIT = "door"
+"""Cause of connections refused at the connection limit."""
 
-ENDED_LINES = ("refused", "unsettled")
+UNSUCCESSFUL_EVENTS = ("refused", "unsettled")
 """Events of statements that ended without a result."""
 
 
 @attrs.define
 class Loss:
-    """Statements of one cause in one slice of time.
+    """Statements of one cause in one time slice.
 
     Attributes
     ----------
     begin : float
         Start of the slice, in seconds after the first line.
     refused, unknown, late : int
-        Refused, without a known outcome, and answered later than their goal.
+        Statements refused, with an unknown outcome, and answered later than their goal.
     too_early : int
-        Of the refused, those whose primary had been silent for less time than it takes
-        until it may be replaced: no box could have served them elsewhere.
+        Refused statements whose primary had not been silent long enough for a failover:
+        no box could have served them.
     """
 
     begin: float
@@ -55,34 +55,34 @@
 
     @property
     def total(self) -> int:
-        """All statements of it."""
+        """All statements of the row."""
         return self.refused + self.unknown + self.late
 
 
-def losses_of(events: Iterable[LoggedEvent], first: float) -> list[Loss]:
-    """Return every loss in order of time; ``first`` is the first line's time, in seconds."""
+def losses_of(events: Iterable[LoggedEvent], first_at: float) -> list[Loss]:
+    """Return the losses by time; ``first_at`` is the first line's time, in seconds."""
     losses: dict[tuple[float, str], Loss] = {}
 
     def loss(event: LoggedEvent, cause: str) -> Loss:
-        begin = (event.at - first) // SLICE_S * SLICE_S
+        begin = (event.at - first_at) // SLICE_S * SLICE_S
         return losses.setdefault((begin, cause), Loss(begin, cause))
 
     for event in events:
         fields = event.fields
         match event.event:
             case "refused":
-                found = loss(event, _cause_of(fields))
-                found.refused += 1
-                found.too_early += _is_too_early(fields)
+                row = loss(event, _cause_of(fields))
+                row.refused += 1
+                row.too_early += _is_too_early(fields)
             case "unsettled":
                 loss(event, _cause_of(fields)).unknown += 1
             case "answered" if fields.get("late"):
                 loss(event, _cause_of_late(fields)).late += 1
             case "door_full":
-                loss(event, AT_THE_DOOR).refused += int(fields.get("refused") or 0)
+                loss(event, CONNECTION_LIMIT).refused += int(fields.get("refused") or 0)
             case "lines_left_out":
                 for name, count in _counts(fields).items():
-                    if name in ENDED_LINES:
+                    if name in UNSUCCESSFUL_EVENTS:
                         loss(event, NOT_LOGGED).refused += count
     return sorted(losses.values(), key=lambda each: (each.begin, each.cause))
 
@@ -93,7 +93,7 @@
 
 
 def _cause_of(fields: dict[str, object]) -> str:
-    """Return the cause told; where an endpoint itself refused, its reason."""
+    """Return the logged cause, or the reason if an endpoint itself refused."""
     return str(fields.get("cause") or fields.get("reason"))
 
 
--- a/wharftiller/settings.py
+++ b/wharftiller/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a box: JSON with comments, every value checked, all faults told together."""
+"""Settings of a box: JSON with comments, validated with all faults reported together."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from wharftiller.edges.transport import split_address
 from wharftiller.keys import KeyRing
 
-LEAST_SECRET = 16
+MIN_SECRET_CHARS = 16
 
 
 class SettingError(WharfError):
@@ -37,12 +37,12 @@
 
 
 class SettingsErrorGroup(ExceptionGroup[SettingError]):
-    """Every fault of a settings file."""
+    """All faults of a settings file."""
 
 
 @attrs.frozen
 class BoxSettings:
-    """Who this box is."""
+    """Identity of the box."""
 
     name: str
     data_centre: str
@@ -50,12 +50,12 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform is.
+    """Connection to the platform.
 
     Attributes
     ----------
     list_lag_s : float
-        The platform's list of boxes is never further behind than this.
+        Maximum lag of the platform's list of boxes.
     """
 
     address: str
@@ -69,9 +69,9 @@
     Attributes
     ----------
     stop_unready_s : float
-        Time between turning unready and refusing new requests.
+        Time between reporting unready and refusing new requests.
     stop_longest_s : float
-        Time after which a stop waits for nothing any more.
+        Maximum duration of a graceful stop.
     """
 
     listen: str = "127.0.0.1:7100"
@@ -81,14 +81,14 @@
 
 @attrs.frozen
 class StewardSettings:
-    """The steward's address, its peers and its patience.
+    """The steward's address, peers and detection time.
 
     Attributes
     ----------
     peers : list of str
-        Stewards to ask for the configuration when the platform is away.
+        Stewards to request the configuration from while the platform is unavailable.
     detect_s : float
-        Silence after which a primary is taken for lost.
+        Time without an answer after which a primary counts as lost.
     """
 
     listen: str = "127.0.0.1:7200"
@@ -103,9 +103,9 @@
     Attributes
     ----------
     operators : list of str
-        Names whose keys are accepted.
+        Names of the operators whose keys are accepted.
     plan_expires_s : float
-        Time within which a plan may be confirmed.
+        Time within which a plan has to be confirmed.
     """
 
     listen: str = "127.0.0.1:7300"
@@ -115,21 +115,21 @@
 
 @attrs.frozen
 class LogSettings:
-    """How much is logged."""
+    """Log level: debug, info, warning or error."""
 
     level: str = "info"
 
 
 @attrs.frozen
 class MetricsSettings:
-    """Where metrics go; an empty address sends none."""
+    """Address of the statsd server; empty to send no metrics."""
 
     statsd: str = ""
 
 
 @attrs.frozen
 class Settings:
-    """Everything a box's daemons are told."""
+    """All settings of a box's daemons."""
 
     box: BoxSettings
     platform: PlatformSettings
@@ -147,7 +147,7 @@
     Raises
     ------
     SettingsErrorGroup
-        With one `SettingError` for every fault found.
+        With one `SettingError` per fault.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -163,7 +163,7 @@
     Raises
     ------
     SettingsErrorGroup
-        With one `SettingError` for every fault found.
+        With one `SettingError` per fault.
     """
     value = _parse_json(text)
     faults = list(_unknown_keys(value, Settings, "", text))
@@ -187,7 +187,7 @@
         )
         raise SettingsErrorGroup("settings are not usable", [fault]) from None
     if not isinstance(value, dict):
-        fault = SettingError("the settings are no object; write { … }", 1)
+        fault = SettingError("the settings are not an object; write { … }", 1)
         raise SettingsErrorGroup("settings are not usable", [fault])
     return value
 
@@ -214,12 +214,12 @@
     try:
         _converter.structure(value, Settings)
     except Exception as error:
-        lines = cattrs.transform_error(error, path="", format_exception=_describe)
+        lines = cattrs.transform_error(error, path="", format_exception=_error_text)
         return [_fault(line, text) for line in lines]
     return []
 
 
-def _describe(error: BaseException, _: type | None) -> str:
+def _error_text(error: BaseException, _: type | None) -> str:
     if isinstance(error, KeyError):
         return f"{error.args[0]!r} is missing; add it"
     return f"{error}; correct it"
@@ -239,8 +239,8 @@
         except ValueError as error:
             yield SettingError(f"setting {name!r}: {error}", _line_of(text, address))
     for kid, secret in settings.keys.secrets.items():
-        if len(secret) < LEAST_SECRET:
-            detail = f"secret {kid!r} has {len(secret)} characters; use {LEAST_SECRET} or more"
+        if len(secret) < MIN_SECRET_CHARS:
+            detail = f"secret {kid!r} has {len(secret)} characters; use {MIN_SECRET_CHARS} or more"
             yield SettingError(detail, _line_of(text, kid))
     if settings.keys.current not in settings.keys.secrets:
         known = sorted(settings.keys.secrets)
@@ -249,9 +249,9 @@
     if settings.logs.level not in ("debug", "info", "warning", "error"):
         detail = f"'logs.level' is {settings.logs.level!r}; use debug, info, warning or error"
         yield SettingError(detail, _line_of(text, "level"))
-    for name, figure in _positive_figures(settings):
-        if not figure > 0:
-            detail = f"{name!r} is {figure}; use a number above 0"
+    for name, number in _positive_numbers(settings):
+        if not number > 0:
+            detail = f"{name!r} is {number}; use a number above 0"
             yield SettingError(detail, _line_of(text, name.rpartition(".")[2]))
 
 
@@ -266,7 +266,7 @@
         yield "metrics.statsd", settings.metrics.statsd
 
 
-def _positive_figures(settings: Settings) -> Iterator[tuple[str, float]]:
+def _positive_numbers(settings: Settings) -> Iterator[tuple[str, float]]:
     yield "platform.list_lag_s", settings.platform.list_lag_s
     yield "proxy.stop_longest_s", settings.proxy.stop_longest_s
     yield "steward.detect_s", settings.steward.detect_s
--- a/wharftiller/tests/core/test_intents.py
+++ b/wharftiller/tests/core/test_intents.py
@@ -1,4 +1,4 @@
-"""Intents applied to configurations."""
+"""Tests of applying intents to configurations."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 class TestApplyIntent:
     @pytest.mark.parametrize(
-        ("intent", "told"),
+        ("intent", "message"),
         [
             (CreatePool(PoolSpec("p", ())), "exists already"),
             (RemoveGroup("g"), "used by pools"),
@@ -47,8 +47,8 @@
             (ChangePool("p", add_groups=("h",), add_businesses={"rila": "h"}), "left behind"),
         ],
     )
-    def test_refusal_names_the_remedy(self, intent: Intent, told: str) -> None:
-        with pytest.raises(ConfigurationError, match=told.replace("[", r"\[")):
+    def test_refusal_names_the_remedy(self, intent: Intent, message: str) -> None:
+        with pytest.raises(ConfigurationError, match=message.replace("[", r"\[")):
             apply_intent(START, intent, "plan")
 
     def test_drain_marks_one_endpoint(self) -> None:
@@ -59,7 +59,7 @@
 
 
 class TestConfigurationFaults:
-    def test_every_broken_rule_is_told(self) -> None:
+    def test_every_broken_rule_is_reported(self) -> None:
         wanted = apply_intent(START, CreateGroup(group("h", 2)), "plan")
         wanted = apply_intent(wanted, CreatePool(PoolSpec("q", ("x",), {"b": "y"})), "plan")
         faults = configuration_faults(wanted)
@@ -67,10 +67,10 @@
         assert "exactly three" in faults[0]
 
     @pytest.mark.parametrize("name", ["a/b", "", "x" * 65, "name with spaces"])
-    def test_name_that_keys_cannot_tell_apart_is_refused(self, name: str) -> None:
+    def test_invalid_name_is_refused(self, name: str) -> None:
         pool = PoolSpec("q", ("g",), {name: "g"})
         wanted = apply_intent(START, CreatePool(pool), "plan")
-        assert "is no name" in configuration_faults(wanted)[0]
+        assert "is not a valid name" in configuration_faults(wanted)[0]
 
     def test_business_of_two_pools_on_one_group_is_refused(self) -> None:
         pool = PoolSpec("q", ("g",), {"rila": "g"})
