--- a/wharftiller/core/leadership/failover.py
+++ b/wharftiller/core/leadership/failover.py
@@ -80,17 +80,17 @@
     return max(candidates, key=lambda each: (each.received, each.name), default=None)
 
 
-def must_leave(row: EndpointRow, turn: int, now: float) -> bool:
+def must_hand_over(row: EndpointRow, rank: int, now: float) -> bool:
     """Return whether an answering primary must hand over: it is leaving, or not listed."""
     if row.is_suspect(now) or row.leaving_since is None:
         return False
-    wait_s = turn * HANDOVER_RANK_DELAY_S
+    wait_s = rank * HANDOVER_RANK_DELAY_S
     if row.missing_since is not None:
         wait_s += max(0.0, row.entry.leaving_serves_s - LAPSED_MARGIN_S)
     return now - row.leaving_since >= wait_s
 
 
-def is_lost(row: EndpointRow | None, turn: int, now: float, *, all_answer: bool = True) -> bool:
+def is_lost(row: EndpointRow | None, rank: int, now: float, *, all_answer: bool = True) -> bool:
     """Return whether a primary has been silent to this box for long enough.
 
     Parameters
@@ -105,8 +105,8 @@
     if row is None:
         return True
     since = row.unreachable_since
-    least_s = UNREACHABLE_S if all_answer else UNREACHABLE_BEHIND_CUT_S
-    return since is not None and now - since >= least_s + turn * RANK_DELAY_S
+    threshold_s = UNREACHABLE_S if all_answer else UNREACHABLE_BEHIND_CUT_S
+    return since is not None and now - since >= threshold_s + rank * RANK_DELAY_S
 
 
 def takeover_rank(box: str, boxes: Iterable[str], group: str) -> int:
--- a/wharftiller/core/leadership/lease.py
+++ b/wharftiller/core/leadership/lease.py
@@ -52,7 +52,7 @@
 for a moment tell what they know."""
 
 
-def holds_no_lease(marked_at: float, answered_at: float, listed_s: float, now: float) -> bool:
+def holds_no_lease(tombstoned_at: float, answered_at: float, listed_s: float, now: float) -> bool:
     """Return whether another box, marked as dead in the platform's list, surely holds no lease.
 
     Its own reads show the mark, and such a read does not count until it has registered
@@ -61,7 +61,7 @@
 
     Parameters
     ----------
-    marked_at : float
+    tombstoned_at : float
         When this box first read the mark that still stands, in seconds.
     answered_at : float
         When this box last answered a round of it, in seconds.
@@ -71,7 +71,7 @@
         In seconds.
     """
     is_in_its_list = listed_s > LISTING_S + LEASE_S
-    return is_in_its_list and now - max(marked_at, answered_at) > LEASE_S
+    return is_in_its_list and now - max(tombstoned_at, answered_at) > LEASE_S
 
 
 @attrs.define
@@ -135,10 +135,10 @@
     boxes: frozenset[str] = frozenset()
     boxes_listed_at: float = -math.inf
     _leases: dict[str, GroupLease] = attrs.field(factory=dict)
-    _unsettled: LeadershipRecord | None = None
-    _unsettled_since: float = -math.inf
+    _unconfirmed: LeadershipRecord | None = None
+    _unconfirmed_since: float = -math.inf
     _era: int = 0
-    _round_counted_at: float = -math.inf
+    _boxes_renewed_at: float = -math.inf
 
     def lease(self, group: str, now: float) -> GroupLease | None:
         """Return the valid lease on ``group``'s primary, if there is one."""
@@ -193,13 +193,13 @@
         """Take in a record read from the platform, asked for at ``asked_at`` (seconds)."""
         self.adopt(record)
         if self._shows_restoration(record):
-            self._unsettled_since = asked_at
+            self._unconfirmed_since = asked_at
         self._era = max(self._era, record.era)
         self.read_from_platform = True
-        if not record.is_confirmed or record.went_back_behind(self.record):
-            self._note_unsettled(record, asked_at)
+        if not record.is_confirmed or record.is_rolled_back_from(self.record):
+            self._hold_unconfirmed(record, asked_at)
         elif not self.record.is_newer_than(record):
-            self._unsettled = None
+            self._unconfirmed = None
             self._renew(asked_at)
 
     def _shows_restoration(self, record: LeadershipRecord) -> bool:
@@ -213,28 +213,28 @@
             return record.is_written_back
         return record.era > self._era
 
-    def _note_unsettled(self, record: LeadershipRecord, asked_at: float) -> None:
-        if self._unsettled is None:
-            self._unsettled_since = asked_at
-        self._unsettled = record
+    def _hold_unconfirmed(self, record: LeadershipRecord, asked_at: float) -> None:
+        if self._unconfirmed is None:
+            self._unconfirmed_since = asked_at
+        self._unconfirmed = record
 
-    def to_write_back(self, now: float) -> LeadershipRecord | None:
+    def record_to_write_back(self, now: float) -> LeadershipRecord | None:
         """Return what to write over a record that the platform came back with; None if nothing.
 
         Reads of such a record renew no lease: a box that knows a newer one may be silent. It is
         written anew at once by who knows a newer one; by others after a round that every box
         answered, or after a time in which a box that knows more has written it.
         """
-        stood = self._unsettled
-        if stood is None:
+        restored = self._unconfirmed
+        if restored is None:
             return None
-        asked_all = self._round_counted_at > self._unsettled_since
-        knows_more = self.record.updates > stood.updates
-        if knows_more or asked_all or now - self._unsettled_since > UNSETTLED_S:
-            return self.record.confirmed_at(stood.revision, self.surely_led(now))
+        all_replied = self._boxes_renewed_at > self._unconfirmed_since
+        has_newer_record = self.record.updates > restored.updates
+        if has_newer_record or all_replied or now - self._unconfirmed_since > UNSETTLED_S:
+            return self.record.written_back_over(restored.revision, self.leased_groups(now))
         return None
 
-    def surely_led(self, now: float) -> set[str]:
+    def leased_groups(self, now: float) -> set[str]:
         """Return the groups on whose recorded primary there is a valid lease.
 
         Nobody has replaced such a primary, whatever the platform lost: who does waits until
@@ -256,9 +256,9 @@
         no box is forgotten until then. Nor does a list that this box read before a restoration
         which another box told it of.
         """
-        if self._unsettled is not None or self.record.era > self._era:
+        if self._unconfirmed is not None or self.record.era > self._era:
             return False
-        return now - self._unsettled_since > UNSETTLED_S
+        return now - self._unconfirmed_since > UNSETTLED_S
 
     def listed(self, boxes: Iterable[str], asked_at: float) -> None:
         """Take in the platform's list of the other boxes."""
@@ -280,7 +280,7 @@
             and self.read_from_platform
         )
         if counts:
-            self._round_counted_at = asked_at
+            self._boxes_renewed_at = asked_at
             self._renew(asked_at)
         return counts
 
@@ -301,7 +301,7 @@
             if not isinstance(state, Leading):
                 continue
             lease = self._leases.get(group)
-            if self._only_extends(state) and (lease is None or not lease.valid(asked_at)):
+            if self._may_only_extend(state) and (lease is None or not lease.valid(asked_at)):
                 continue
             if lease is None or lease.endpoint != state.endpoint or lease.closing:
                 self._leases[group] = GroupLease(state.endpoint, state.term, asked_at)
@@ -309,6 +309,6 @@
                 lease.checked_at = max(lease.checked_at, asked_at)
                 lease.term = state.term
 
-    def _only_extends(self, state: Leading) -> bool:
+    def _may_only_extend(self, state: Leading) -> bool:
         """Return whether checks extend a valid lease on this primary, but begin none."""
-        return state.is_unverified or self._unsettled is not None
+        return state.is_unverified or self._unconfirmed is not None
--- a/wharftiller/core/leadership/read_schedule.py
+++ b/wharftiller/core/leadership/read_schedule.py
@@ -105,16 +105,16 @@
     is_asked: bool = True
 
 
-def read_is_due(view: ReadScheduleInputs, pace: ReadIntervals) -> bool:
+def read_is_due(inputs: ReadScheduleInputs, intervals: ReadIntervals) -> bool:
     """Return whether to read now."""
-    if view.by_data_centre and not view.platform_answers and not view.is_asked:
-        return view.since_s >= AWAY_READ_S
-    if view.misses_lease and view.since_s >= MISSING_LEASE_READ_S and view.platform_answers:
+    if inputs.by_data_centre and not inputs.platform_answers and not inputs.is_asked:
+        return inputs.since_s >= AWAY_READ_S
+    if inputs.misses_lease and inputs.since_s >= MISSING_LEASE_READ_S and inputs.platform_answers:
         return True
-    if view.since_s < pace.reader_s:
+    if inputs.since_s < intervals.reader_s:
         return False
-    if view.reads_for_others or not view.renewed:
+    if inputs.reads_for_others or not inputs.renewed:
         return True
-    if view.by_data_centre:
+    if inputs.by_data_centre:
         return False
-    return view.since_s >= SHARED_READ_S or view.known_age_s > pace.known_s
+    return inputs.since_s >= SHARED_READ_S or inputs.known_age_s > intervals.known_s
--- a/wharftiller/core/leadership/record.py
+++ b/wharftiller/core/leadership/record.py
@@ -58,7 +58,7 @@
     ordered: bool = False
 
     @property
-    def may_be_called_off(self) -> bool:
+    def is_cancellable(self) -> bool:
         """Whether the old primary leads on if it answers again.
 
         A doubted one does not: that it answers tells nothing of whether it was replaced.
@@ -108,11 +108,11 @@
         """Return whether it followed ``other``."""
         return (self.updates, self.revision) > (other.updates, other.revision)
 
-    def went_back_behind(self, other: LeadershipRecord) -> bool:
+    def is_rolled_back_from(self, other: LeadershipRecord) -> bool:
         """Return whether the platform came back with this after it had held ``other``."""
         return self.revision > other.revision and self.updates < other.updates
 
-    def confirmed_at(self, revision: int, surely_led: Collection[str]) -> LeadershipRecord:
+    def written_back_over(self, revision: int, leased_groups: Collection[str]) -> LeadershipRecord:
         """Return what is written over the record of ``revision`` that came back from a copy.
 
         It outranks every update that was lost with the seconds that the copy is old, so that a
@@ -123,11 +123,11 @@
 
         Parameters
         ----------
-        surely_led : collection of str
+        leased_groups : collection of str
             The groups that are surely still led by whom this record names.
         """
         groups: dict[str, GroupLeadership] = {
-            name: _led(state, is_unverified=name not in surely_led)
+            name: _as_leading(state, is_unverified=name not in leased_groups)
             for name, state in self.groups.items()
         }
         return attrs.evolve(
@@ -141,7 +141,7 @@
         )
 
     @property
-    def doubted(self) -> dict[str, Leading]:
+    def unverified(self) -> dict[str, Leading]:
         """The groups whose recorded primary may have been replaced in lost seconds."""
         return {
             name: state
@@ -169,7 +169,7 @@
         return attrs.evolve(self, groups={**self.groups, group: state})
 
 
-def _led(state: GroupLeadership, *, is_unverified: bool) -> Leading:
+def _as_leading(state: GroupLeadership, *, is_unverified: bool) -> Leading:
     """Return the primary that ``state`` names, doubted or not."""
     leading = state if isinstance(state, Leading) else state.old
     return attrs.evolve(leading, is_unverified=is_unverified)
--- a/wharftiller/core/leadership/verification.py
+++ b/wharftiller/core/leadership/verification.py
@@ -51,7 +51,7 @@
     sync_replicas: int = 0
 
 
-def choose_successor(doubted: Leading, evidence: VerificationEvidence) -> str | None:
+def choose_successor(unverified: Leading, evidence: VerificationEvidence) -> str | None:
     """Return the endpoint that leads or should, None while that cannot be told.
 
     Load: the first seconds after all boxes ended together while the platform was restored.
@@ -69,13 +69,13 @@
     if evidence.sync_replicas and len(evidence.silent) > evidence.sync_replicas:
         # The silent ones may be all that hold an acknowledged write.
         return None
-    return leader or _most_advanced(evidence.statuses, doubted.endpoint)
+    return leader or _most_advanced(evidence.statuses, unverified.endpoint)
 
 
 def _newest_leader(statuses: dict[str, EndpointStatus]) -> str | None:
     """Return who leads the newest term that any endpoint knows, if it told so."""
     newest = max(status.term for status in statuses.values())
-    leaders = [name for name, told in statuses.items() if told.leads and told.term == newest]
+    leaders = [name for name, status in statuses.items() if status.leads and status.term == newest]
     return leaders[0] if leaders else None
 
 
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -15,7 +15,7 @@
     TAKE_OVER_SILENT_S,
     best_candidate,
     is_lost,
-    must_leave,
+    must_hand_over,
     takeover_rank,
 )
 from wharftiller.core.leadership.record import FailingOver, Leading
@@ -58,7 +58,7 @@
 
 
 @attrs.define
-class _Seen:
+class _RevisionSeen:
     """Since when this box has seen a change at one revision of the record."""
 
     revision: int
@@ -76,7 +76,7 @@
         writer: RecordWriter,
         successors: SuccessorFinder,
         runner: FailoverRunner,
-        doubts: UnverifiedPrimaries,
+        unverified: UnverifiedPrimaries,
     ) -> None:
         self._state = state
         self._directory = directory
@@ -84,9 +84,9 @@
         self._writer = writer
         self._successors = successors
         self._runner = runner
-        self._doubts = doubts
-        self._seen: _Seen | None = None
-        self._heard_elsewhere_at: dict[str, float] = {}
+        self._unverified = unverified
+        self._seen: _RevisionSeen | None = None
+        self._reachable_elsewhere_at: dict[str, float] = {}
         self._started_at = trio.current_time()
 
     async def run(self) -> None:
@@ -96,34 +96,36 @@
             if not self._state.leases.read_from_platform:
                 continue
             try:
-                await self._look()
+                await self._check()
             except PlatformUnavailableError as error:
                 self._state.log.event("change_of_primary_waits", why=str(error))
                 await trio.sleep(FAILED_PAUSE_S)
 
-    async def _look(self) -> None:
-        if await self._writer.write_back() or await self._clear_doubts():
+    async def _check(self) -> None:
+        if await self._writer.write_back() or await self._mark_verified():
             return
         is_settled = self._is_settled()
         if is_settled:
             await self._first_record()
         record = self._state.leases.record
-        if not is_settled and not _concerns_doubts_only(record):
+        if not is_settled and not _needs_verification_only(record):
             return
         if record.moving and record.holder == self._writer.incarnation:
-            await self._runner.carry_on(record)
+            await self._runner.advance(record)
         elif record.moving:
             if await self._may_take_over(record):
                 self._state.log.change("change_taken_over", groups=sorted(record.moving))
                 await self._writer.write(self._writer.as_holder(record))
         else:
-            await self._start(record)
+            await self._start_failovers(record)
 
-    async def _clear_doubts(self) -> bool:
+    async def _mark_verified(self) -> bool:
         record = self._state.leases.record
-        self._doubts.note(record)
-        sure = self._doubts.verified(record)
-        return bool(sure) and await self._doubts.clear(record, sure, self._turn("doubts"))
+        self._unverified.note(record)
+        verified = self._unverified.verified(record)
+        return bool(verified) and await self._unverified.clear(
+            record, verified, self._rank("doubts")
+        )
 
     def _is_settled(self) -> bool:
         """Return whether the platform's list and record may be built on."""
@@ -137,25 +139,25 @@
         groups = {
             group: Leading(leaders[0])
             for group in self._state.configuration.groups
-            if group not in record.groups and len(leaders := self._told_leaders(group)) == 1
+            if group not in record.groups and len(leaders := self._registered_leaders(group)) == 1
         }
         missing = [g for g in self._state.configuration.groups if g not in record.groups]
         if not groups:
             return
-        turn = self._turn("first")
+        rank = self._rank("first")
         waited_s = trio.current_time() - self._started_at
-        if waited_s < turn * FIRST_RANK_DELAY_S or (
+        if waited_s < rank * FIRST_RANK_DELAY_S or (
             len(groups) < len(missing) and waited_s < FIRST_ALL_S
         ):
             return
         await self._writer.write(attrs.evolve(record, groups={**record.groups, **groups}))
 
-    def _told_leaders(self, group: str) -> list[str]:
+    def _registered_leaders(self, group: str) -> list[str]:
         return [row.name for row in self._state.endpoints.of_group(group) if row.entry.leads]
 
     # Starting a change --------------------------------------------------
 
-    async def _start(self, record: LeadershipRecord) -> None:
+    async def _start_failovers(self, record: LeadershipRecord) -> None:
         """Start replacing every primary that must be.
 
         The update is conditional on ``record``'s revision: whatever another box
@@ -168,27 +170,27 @@
         changed = self._writer.as_holder(record)
         for group, leading in record.groups.items():
             if isinstance(leading, Leading) and self._state.serves_group(group):
-                moving = await self._change_needed(group, leading)
-                if moving is not None:
-                    changed = changed.with_group(group, moving)
+                failover = await self._needed_failover(group, leading)
+                if failover is not None:
+                    changed = changed.with_group(group, failover)
         if changed.moving:
             await self._writer.write(changed)
 
-    async def _change_needed(self, group: str, leading: Leading) -> FailingOver | None:
+    async def _needed_failover(self, group: str, leading: Leading) -> FailingOver | None:
         """Return the change that ``group`` needs, if it is this box's turn to start one."""
         if leading.is_unverified:
-            successor = await self._doubts.successor(group, leading, self._turn(group))
+            successor = await self._unverified.successor(group, leading, self._rank(group))
             return None if successor is None else FailingOver(leading, successor, planned=False)
         now = trio.current_time()
         row = self._state.endpoints.rows.get(leading.endpoint)
         if not self._is_settled() or (row is not None and not row.may_need_successor):
             return None
-        turn = self._turn(group)
-        planned = row is not None and must_leave(row, turn, now)
+        rank = self._rank(group)
+        planned = row is not None and must_hand_over(row, rank, now)
         if planned:
             best = best_candidate(await self._successors.candidates(group, leading.endpoint))
-        elif is_lost(row, turn, now) and not self._was_reachable_elsewhere(group, now):
-            best = await self._successor_of_lost(group, leading.endpoint, turn)
+        elif is_lost(row, rank, now) and not self._was_reachable_elsewhere(group, now):
+            best = await self._successor_of_lost(group, leading.endpoint, rank)
         else:
             return None
         if best is None:
@@ -203,18 +205,18 @@
         )
         return FailingOver(leading, best.name, planned)
 
-    async def _successor_of_lost(self, group: str, old: str, turn: int) -> Candidate | None:
+    async def _successor_of_lost(self, group: str, old: str, rank: int) -> Candidate | None:
         """Return who takes over from a primary that no box hears; None if one does.
 
         Of the other boxes only the group's homes may hear it. They and the replicas are asked
         at once: each may take half a second.
         """
-        heard = False
+        is_reachable = False
         asked = self._gateways.others_of([group])
 
         async def ask_boxes() -> None:
-            nonlocal heard
-            heard = await self._is_reachable_elsewhere(group, old, asked)
+            nonlocal is_reachable
+            is_reachable = await self._is_reachable_elsewhere(group, old, asked)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask_boxes)
@@ -222,7 +224,7 @@
         row = self._state.endpoints.rows.get(old)
         names = self._directory.boxes if asked is None else [box.name for box in asked]
         all_answer = self._directory.replies.keys() >= set(names)
-        if heard or not is_lost(row, turn, trio.current_time(), all_answer=all_answer):
+        if is_reachable or not is_lost(row, rank, trio.current_time(), all_answer=all_answer):
             return None
         best = best_candidate(candidates)
         if best is None:
@@ -230,26 +232,26 @@
         return best
 
     def _was_reachable_elsewhere(self, group: str, now: float) -> bool:
-        return now - self._heard_elsewhere_at.get(group, -math.inf) < REACHABLE_ELSEWHERE_S
+        return now - self._reachable_elsewhere_at.get(group, -math.inf) < REACHABLE_ELSEWHERE_S
 
-    def _turn(self, what: str) -> int:
+    def _rank(self, key: str) -> int:
         """Return how many boxes go before this one; those far back go together."""
         boxes = (
-            self._gateways.all_gateways(what) if what in self._state.leases.record.groups else None
+            self._gateways.all_gateways(key) if key in self._state.leases.record.groups else None
         )
         if boxes is None:
             boxes = self._directory.live()
-        return min(MAX_RANKS, takeover_rank(self._state.box, boxes, what))
+        return min(MAX_RANKS, takeover_rank(self._state.box, boxes, key))
 
     async def _is_reachable_elsewhere(
         self, group: str, endpoint: str, asked: list[Box] | None
     ) -> bool:
         await self._directory.round(check=(endpoint,), among=asked)
-        hearing = [n for n, reply in self._directory.replies.items() if endpoint in reply.hears]
-        if hearing:
-            self._heard_elsewhere_at[group] = trio.current_time()
-            self._state.log.event("primary_heard_elsewhere", endpoint=endpoint, others=hearing)
-        return bool(hearing)
+        reaching = [n for n, reply in self._directory.replies.items() if endpoint in reply.hears]
+        if reaching:
+            self._reachable_elsewhere_at[group] = trio.current_time()
+            self._state.log.event("primary_heard_elsewhere", endpoint=endpoint, others=reaching)
+        return bool(reaching)
 
     # Taking over --------------------------------------------------------
 
@@ -257,22 +259,22 @@
         """Return whether the holder of a change can surely order nothing any more."""
         now = trio.current_time()
         if self._seen is None or self._seen.revision != record.revision:
-            self._seen = _Seen(record.revision, now)
+            self._seen = _RevisionSeen(record.revision, now)
         if not any(map(self._state.serves_group, record.moving)):
             # Were all boxes to ask about a change that waits for a silent box's lease, their
             # questions would grow with the square of the boxes.
             return False
-        seen_s = now - self._seen.at - self._take_over_turn(record) * FIRST_RANK_DELAY_S
+        seen_s = now - self._seen.at - self._take_over_rank(record) * FIRST_RANK_DELAY_S
         if seen_s > FIRST_RANK_DELAY_S:
-            await self._ask_holder(_box_of(record.holder))
+            await self._ask_holder(_box_name(record.holder))
         if self._holder_restarted(record.holder):
             return seen_s > FIRST_RANK_DELAY_S
-        if any(moving.ordered for moving in record.moving.values()):
+        if any(failover.ordered for failover in record.moving.values()):
             return seen_s > TAKE_OVER_ORDERED_S
-        silent = _box_of(record.holder) not in self._directory.replies
+        silent = _box_name(record.holder) not in self._directory.replies
         return seen_s > (TAKE_OVER_SILENT_S if silent else TAKE_OVER_S)
 
-    def _take_over_turn(self, record: LeadershipRecord) -> int:
+    def _take_over_rank(self, record: LeadershipRecord) -> int:
         """Return how many boxes that run statements of the groups concerned go first."""
         others = self._gateways.others_of(record.moving)
         names = self._directory.live() if others is None else [box.name for box in others]
@@ -286,24 +288,24 @@
 
     def _holder_restarted(self, holder: str) -> bool:
         """Return whether the holder's box runs another process by now."""
-        name = _box_of(holder)
+        name = _box_name(holder)
         if name == self._state.box:
             return True
         reply = self._directory.replies.get(name)
         return reply is not None and reply.incarnation != holder
 
 
-def _concerns_doubts_only(record: LeadershipRecord) -> bool:
+def _needs_verification_only(record: LeadershipRecord) -> bool:
     """Return whether all that ``record`` leaves to be done is about doubted primaries.
 
     That need not wait until the list of boxes may be built on: what the endpoints tell
     replaces nobody whom a box may use.
     """
     if record.moving:
-        return all(moving.old.is_unverified for moving in record.moving.values())
-    return bool(record.doubted)
+        return all(failover.old.is_unverified for failover in record.moving.values())
+    return bool(record.unverified)
 
 
-def _box_of(holder: str) -> str:
+def _box_name(holder: str) -> str:
     """Return the name of the box whose process ``holder`` is."""
     return holder.rpartition("/")[0]
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -28,7 +28,7 @@
 RETRY_S = 0.2
 """Time before a promotion or an update that failed is asked for again, in seconds."""
 
-ASK_LOST_S = 0.3
+LAST_PROBE_TIMEOUT_S = 0.3
 """Time that a lost primary has for its last word before anything is ordered, in seconds.
 
 One lost packet is sent again after 0.2 s; every change of a dark primary pays it.
@@ -41,13 +41,13 @@
 whether replicas have applied it or not.
 """
 
-LAST_RELEASE_FRESH_S = 1.0
+LAST_PROBE_FRESH_S = 1.0
 """Age beyond which a lost primary is asked once more before anything is ordered, in seconds.
 
 Where every box gives its word at once, the question asked meanwhile is enough.
 """
 
-RECORD_TRIES = 5
+MAX_RECORD_ATTEMPTS = 5
 """Times a finished change is offered to the platform before the next look does it again."""
 
 
@@ -60,7 +60,7 @@
         directory: BoxDirectory,
         gateways: Gateways,
         writer: RecordWriter,
-        stopper: LeaseRevoker,
+        revoker: LeaseRevoker,
         successors: SuccessorFinder,
         promotions: Promotions,
         prober: Prober,
@@ -69,15 +69,15 @@
         self._directory = directory
         self._gateways = gateways
         self._writer = writer
-        self._stopper = stopper
+        self._revoker = revoker
         self._successors = successors
         self._promotions = promotions
         self._prober = prober
 
-    async def carry_on(self, record: LeadershipRecord) -> None:
+    async def advance(self, record: LeadershipRecord) -> None:
         """Take the changes in ``record``, which this box holds, as far as they go now."""
-        if not all(moving.ordered for moving in record.moving.values()):
-            if not await self._stop_and_mark(record):
+        if not all(failover.ordered for failover in record.moving.values()):
+            if not await self._revoke_and_mark_ordered(record):
                 return
             record = self._state.leases.record
         asked_at = self._writer.asked_at(record)
@@ -86,48 +86,48 @@
             return
         not_running = await self._promote_all(record)
         if not_running:
-            await self._name_others(record, not_running)
+            await self._replace_successors(record, not_running)
 
-    async def _name_others(self, record: LeadershipRecord, groups: list[str]) -> None:
+    async def _replace_successors(self, record: LeadershipRecord, groups: list[str]) -> None:
         """Record who takes ``groups`` over instead of successors that are not running."""
         for group in groups:
             best = await self._successors.best(group, record.moving[group])
-            moving = attrs.evolve(record.moving[group], successor=best)
-            record = record.with_group(group, moving)
+            failover = attrs.evolve(record.moving[group], successor=best)
+            record = record.with_group(group, failover)
         await self._writer.write(record)
 
-    async def _stop_and_mark(self, record: LeadershipRecord) -> bool:
+    async def _revoke_and_mark_ordered(self, record: LeadershipRecord) -> bool:
         """Have every box stop, then mark the changes as ordered; return whether they are."""
         _, won_at = self._writer.won(record)
         answering: set[str] = set()
         asked_at = trio.current_time()
 
         async def ask_lost(scope: trio.CancelScope) -> None:
-            answering.update(await self._lost_that_answer(record))
+            answering.update(await self._probe_lost_primaries(record))
             if answering:
                 scope.cancel()
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask_lost, nursery.cancel_scope)
-            answering.update(await self._stopper.all_released(record, won_at))
-        if not answering and trio.current_time() - asked_at > LAST_RELEASE_FRESH_S:
-            answering.update(await self._lost_that_answer(record))
-        if await self._called_off(record, answering):
+            answering.update(await self._revoker.all_released(record, won_at))
+        if not answering and trio.current_time() - asked_at > LAST_PROBE_FRESH_S:
+            answering.update(await self._probe_lost_primaries(record))
+        if await self._cancel_answering(record, answering):
             return False
-        ready = await self._ready_to_order(record)
+        ready = await self._with_ordered_successors(record)
         return ready is not None and await self._writer.write(ready)
 
-    async def _called_off(self, record: LeadershipRecord, answering: set[str]) -> bool:
+    async def _cancel_answering(self, record: LeadershipRecord, answering: set[str]) -> bool:
         """Let the primaries of the groups ``answering`` go on leading, if there are any."""
         if not answering:
             return False
         for group in sorted(answering):
             record = record.with_group(group, record.moving[group].old)
         await self._writer.write(record)
-        await self._tell(answering)
+        await self._send_record(answering)
         return True
 
-    async def _tell(self, groups: Iterable[str]) -> None:
+    async def _send_record(self, groups: Iterable[str]) -> None:
         """Tell the boxes that run statements of ``groups`` of the record as it stands now.
 
         The others pass them on, and hear of it from their readers within a second.
@@ -135,48 +135,48 @@
         gateways = self._gateways.others_of(groups)
         await self._directory.send_record(self._state.leases.record, gateways)
 
-    async def _lost_that_answer(self, record: LeadershipRecord) -> list[str]:
+    async def _probe_lost_primaries(self, record: LeadershipRecord) -> list[str]:
         """Ask every lost primary once more; return the groups whose answers."""
         answering: list[str] = []
 
         async def ask(group: str, row: EndpointRow) -> None:
-            with trio.move_on_after(ASK_LOST_S):
+            with trio.move_on_after(LAST_PROBE_TIMEOUT_S):
                 if await self._successors.status(row) is not None:
                     self._state.log.change("old_primary_answers", group=group, endpoint=row.name)
                     answering.append(group)
 
         async with trio.open_nursery() as nursery:
-            for group, moving in record.moving.items():
-                row = self._state.endpoints.rows.get(moving.old.endpoint)
-                if row is not None and moving.may_be_called_off:
+            for group, failover in record.moving.items():
+                row = self._state.endpoints.rows.get(failover.old.endpoint)
+                if row is not None and failover.is_cancellable:
                     nursery.start_soon(ask, group, row)
         return answering
 
-    async def _ready_to_order(self, record: LeadershipRecord) -> LeadershipRecord | None:
+    async def _with_ordered_successors(self, record: LeadershipRecord) -> LeadershipRecord | None:
         """Return the record with each change's best successor, marked as ordered.
 
         None while a group's successor cannot be told that loses no acknowledged write,
         where its writes are on replicas before they are acknowledged.
         """
-        for group, moving in record.moving.items():
-            best = await self._best_successor(group, moving)
+        for group, failover in record.moving.items():
+            best = await self._final_successor(group, failover)
             if best is None:
                 return None
-            ordered = attrs.evolve(moving, successor=best, ordered=True)
+            ordered = attrs.evolve(failover, successor=best, ordered=True)
             record = record.with_group(group, ordered)
         return record
 
-    async def _best_successor(self, group: str, moving: FailingOver) -> str | None:
-        if moving.old.is_unverified:
+    async def _final_successor(self, group: str, failover: FailingOver) -> str | None:
+        if failover.old.is_unverified:
             # Every endpoint was asked when it was chosen, the old primary among them.
-            return moving.successor
-        caught_up = moving.planned and await self._successors.wait_caught_up(moving)
+            return failover.successor
+        caught_up = failover.planned and await self._successors.wait_caught_up(failover)
         if caught_up:
-            return moving.successor
-        if self._successors.keeps_acknowledged(group):
-            return await self._successors.holds_everything(group, moving.old.endpoint)
-        fresh_s = 0.0 if moving.planned else CANDIDATES_FRESH_S
-        return await self._successors.best(group, moving, fresh_s)
+            return failover.successor
+        if self._successors.has_sync_replicas(group):
+            return await self._successors.complete_replica(group, failover.old.endpoint)
+        fresh_s = 0.0 if failover.planned else CANDIDATES_FRESH_S
+        return await self._successors.best(group, failover, fresh_s)
 
     async def _promote_all(self, record: LeadershipRecord) -> list[str]:
         """Order every promotion and record those that took effect.
@@ -187,48 +187,50 @@
             The groups whose successor is not running; none if others' were recorded, as
             the next look then orders the rest again.
         """
-        led: dict[str, Leading] = {}
+        promoted: dict[str, Leading] = {}
         not_running: list[str] = []
 
-        async def promote(group: str, moving: FailingOver) -> None:
-            if not await self._promote(group, moving, record.fence):
+        async def promote(group: str, failover: FailingOver) -> None:
+            if not await self._promote(group, failover, record.fence):
                 not_running.append(group)
                 return
-            leading = await self._successors.leading(moving)
+            leading = await self._successors.leading(failover)
             if leading is not None:
-                led[group] = leading
+                promoted[group] = leading
 
         async with trio.open_nursery() as nursery:
-            for group, moving in record.moving.items():
-                nursery.start_soon(promote, group, moving)
-        if led:
-            await self._record_led(record, led)
+            for group, failover in record.moving.items():
+                nursery.start_soon(promote, group, failover)
+        if promoted:
+            await self._record_promoted(record, promoted)
             return []
         return not_running
 
-    async def _promote(self, group: str, moving: FailingOver, fence: int) -> bool:
+    async def _promote(self, group: str, failover: FailingOver, fence: int) -> bool:
         holder = self._state.box
         try:
-            accepted = await self._promotions.promote(group, moving.successor, holder, fence)
+            accepted = await self._promotions.promote(group, failover.successor, holder, fence)
         except PlatformUnavailableError as error:
             self._state.log.event("promotion_unanswered", group=group, why=str(error))
             accepted = True
         self._state.log.change(
-            "promotion_ordered", group=group, endpoint=moving.successor, fence=fence, ok=accepted
+            "promotion_ordered", group=group, endpoint=failover.successor, fence=fence, ok=accepted
         )
         if not accepted:
-            row = self._state.endpoints.rows.get(moving.successor)
+            row = self._state.endpoints.rows.get(failover.successor)
             if row is not None:
                 row.failed(trio.current_time())
             await trio.sleep(RETRY_S)
         return accepted
 
-    async def _record_led(self, record: LeadershipRecord, led: dict[str, Leading]) -> None:
+    async def _record_promoted(
+        self, record: LeadershipRecord, promoted: dict[str, Leading]
+    ) -> None:
         """Record the new primaries, tell those who use them, and demote the old ones."""
-        moved = record.moving
-        for group, leading in led.items():
+        failovers = record.moving
+        for group, leading in promoted.items():
             record = record.with_group(group, leading)
-        for _ in range(RECORD_TRIES):
+        for _ in range(MAX_RECORD_ATTEMPTS):
             try:
                 if await self._writer.write(record):
                     break
@@ -237,8 +239,8 @@
                 self._state.log.event("record_write_unanswered", why=str(error))
                 await trio.sleep(RETRY_S)
         self._state.check_soon.set()
-        await self._tell(led)
-        for group, leading in led.items():
-            old = moved[group].old.endpoint
+        await self._send_record(promoted)
+        for group, leading in promoted.items():
+            old = failovers[group].old.endpoint
             if old != leading.endpoint:
                 self._prober.demote_soon(old, leading.term)
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -22,7 +22,7 @@
 RELEASE_RETRY_S = 0.2
 """Time between questions to boxes that did not answer as hoped, in seconds."""
 
-STOP_BEFORE_S = 0.4
+RELEASE_BEFORE_END_S = 0.4
 """How long before silent boxes' leases end the others are asked to stop, in seconds.
 
 Time for a few statements to end; an open transaction may take `QUIET_WAIT_S`.
@@ -39,46 +39,46 @@
         marks: Tombstones,
         server: BoxServer,
         store: SharedObjects,
-        listings: SnapshotApplier,
+        snapshots: SnapshotApplier,
     ) -> None:
         self._state = state
         self._directory = directory
-        self._marks = marks
+        self._tombstones = marks
         self._server = server
         self._store = store
-        self._listings = listings
+        self._snapshots = snapshots
 
     async def all_released(self, record: LeadershipRecord, won_at: float) -> list[str]:
         """Return once no box uses an old primary; the groups whose lost one answers again."""
-        listed = await self._list_anew()
-        dead = self._marks.confirmed_dead() if listed else []
+        listed = await self._reload_boxes()
+        dead = self._tombstones.confirmed_dead() if listed else []
         if dead:
             self._state.log.change("dead_boxes_not_waited_for", boxes=dead)
         silent = {n: box for n, box in self._directory.boxes.items() if n not in dead}
-        if all(moving.planned for moving in record.moving.values()):
-            await self._let_silent_leases_end(won_at, silent)
+        if all(failover.planned for failover in record.moving.values()):
+            await self._wait_beside_silent_boxes(won_at, silent)
         async with trio.open_nursery() as nursery:
             # Each box first lets its writes end, for a second at most: all at once.
             nursery.start_soon(self._server.stop_using, record)
-            vouched = await self._request_releases(silent, record)
+            has_old_member = await self._request_releases(silent, record)
         while True:
-            answering = self._answering_again(record, won_at)
+            answering = self._answering_lost_primaries(record, won_at)
             if answering or (listed and not silent):
                 return answering
             now = trio.current_time()
-            if now >= won_at + LEASE_S and (vouched or self._is_old_member(now)):
+            if now >= won_at + LEASE_S and (has_old_member or self._is_old_member(now)):
                 self._state.log.change("lease_waited_out", silent=sorted(silent))
                 return []
             await trio.sleep(RELEASE_RETRY_S)
-            vouched |= await self._request_releases(silent, record)
+            has_old_member |= await self._request_releases(silent, record)
 
-    async def _let_silent_leases_end(self, won_at: float, asked: dict[str, Box]) -> None:
+    async def _wait_beside_silent_boxes(self, won_at: float, asked: dict[str, Box]) -> None:
         """Let the other boxes go on for most of the wait for boxes that cannot be asked."""
         await self._directory.round()
         if asked.keys() - self._directory.replies.keys():
-            await trio.sleep_until(won_at + LEASE_S - STOP_BEFORE_S)
+            await trio.sleep_until(won_at + LEASE_S - RELEASE_BEFORE_END_S)
 
-    async def _list_anew(self) -> bool:
+    async def _reload_boxes(self) -> bool:
         """Read the list of boxes after the record was won; return whether it was read.
 
         A box joins the list before its first lease, so this list holds every box
@@ -86,18 +86,18 @@
         """
         asked_at = trio.current_time()
         try:
-            listing = await self._store.read()
+            snapshot = await self._store.read()
         except PlatformUnavailableError as error:
             self._state.log.event("boxes_not_listed", why=str(error))
             return False
-        return self._listings.take(listing, asked_at)
+        return self._snapshots.take(snapshot, asked_at)
 
-    def _answering_again(self, record: LeadershipRecord, won_at: float) -> list[str]:
+    def _answering_lost_primaries(self, record: LeadershipRecord, won_at: float) -> list[str]:
         """Return the groups whose lost primary answers again and may still go on leading."""
         answering = []
-        for group, moving in record.moving.items():
-            row = self._state.endpoints.rows.get(moving.old.endpoint)
-            if not moving.may_be_called_off or row is None:
+        for group, failover in record.moving.items():
+            row = self._state.endpoints.rows.get(failover.old.endpoint)
+            if not failover.is_cancellable or row is None:
                 continue
             if row.last_contact_at > won_at:
                 self._state.log.change("old_primary_answers", group=group, endpoint=row.name)
@@ -110,7 +110,7 @@
         A silent box's rounds ask every box that was listed `LISTING_S` before, so an
         old member that knows of the change keeps it from renewing its lease.
         """
-        members: list[float] = []
+        listed_times: list[float] = []
 
         async def ask(name: str) -> None:
             box = self._directory.boxes.get(name)
@@ -119,13 +119,13 @@
                 return
             listed_s = await self._directory.request_release(box, record)
             if listed_s is not None:
-                members.append(listed_s)
+                listed_times.append(listed_s)
                 silent.pop(name, None)
 
         async with trio.open_nursery() as nursery:
             for name in list(silent):
                 nursery.start_soon(ask, name)
-        return any(listed_s > LISTING_S + LEASE_S for listed_s in members)
+        return any(listed_s > LISTING_S + LEASE_S for listed_s in listed_times)
 
     def _is_old_member(self, now: float) -> bool:
         """Return whether every other box's list must hold this box by now."""
--- a/wharftiller/daemons/sessions/leadership/record_writer.py
+++ b/wharftiller/daemons/sessions/leadership/record_writer.py
@@ -29,8 +29,8 @@
     def __init__(self, state: SharedState, store: SharedObjects, incarnation: str) -> None:
         self._state = state
         self._store = store
-        self._numbers = itertools.count(1)
-        self._attempts: dict[str, float] = {}
+        self._attempt_numbers = itertools.count(1)
+        self._attempt_times: dict[str, float] = {}
         self._won_at: dict[int, tuple[float, float]] = {}
         self.incarnation = incarnation
 
@@ -44,35 +44,35 @@
 
     def _next_attempt(self) -> tuple[str, float]:
         """Return the id of a new update, and now, in seconds."""
-        attempt = f"{self.incarnation}.{next(self._numbers)}"
-        asked_at = self._attempts[attempt] = trio.current_time()
+        attempt = f"{self.incarnation}.{next(self._attempt_numbers)}"
+        asked_at = self._attempt_times[attempt] = trio.current_time()
         return attempt, asked_at
 
     async def _replace(self, update: LeadershipRecord, asked_at: float) -> bool:
-        stands = await self._store.replace_record(update)
-        won = stands.attempt in self._attempts
+        current = await self._store.replace_record(update)
+        won = current.attempt in self._attempt_times
         if won:
-            self._won_at.setdefault(stands.fence, (asked_at, trio.current_time()))
-        self._state.leases.adopt(stands)
+            self._won_at.setdefault(current.fence, (asked_at, trio.current_time()))
+        self._state.leases.adopt(current)
         self._state.log.change(
             "record_written" if won else "record_lost",
-            revision=stands.revision,
-            fence=stands.fence,
-            holder=stands.holder,
+            revision=current.revision,
+            fence=current.fence,
+            holder=current.holder,
         )
         self._state.wake()
         return won
 
     async def write_back(self) -> bool:
         """Write the record anew where the platform came back with an older one; False if not."""
-        record = self._state.leases.to_write_back(trio.current_time())
+        record = self._state.leases.record_to_write_back(trio.current_time())
         if record is None:
             return False
         self._state.log.change(
             "record_written_back",
             over=record.revision,
             fence=record.fence,
-            doubted=sorted(record.doubted),
+            doubted=sorted(record.unverified),
         )
         attempt, asked_at = self._next_attempt()
         return await self._replace(attrs.evolve(record, attempt=attempt), asked_at)
@@ -83,14 +83,14 @@
 
     def won(self, record: LeadershipRecord) -> tuple[float, float]:
         """Return when the record was asked for and when this box learned that it won it."""
-        known = self._won_at.get(record.fence)
-        if known is None:
+        times = self._won_at.get(record.fence)
+        if times is None:
             # An update of this process whose answer was lost turned up in a read.
             now = trio.current_time()
-            known = (self._attempts.get(record.attempt, now - SEND_WINDOW_S), now)
-            self._won_at[record.fence] = known
-        return known
+            times = (self._attempt_times.get(record.attempt, now - SEND_WINDOW_S), now)
+            self._won_at[record.fence] = times
+        return times
 
     def asked_at(self, record: LeadershipRecord) -> float:
         """Return when this process asked for the update that made ``record``, in seconds."""
-        return self._attempts.get(record.attempt, -math.inf)
+        return self._attempt_times.get(record.attempt, -math.inf)
--- a/wharftiller/daemons/sessions/leadership/successors.py
+++ b/wharftiller/daemons/sessions/leadership/successors.py
@@ -17,16 +17,16 @@
     from wharftiller.daemons.sessions.connections.probes import Prober
     from wharftiller.daemons.sessions.state import SharedState
 
-CATCH_UP_S = 1.5
+CATCH_UP_TIMEOUT_S = 1.5
 """Time a successor may take to receive a living primary's last writes, in seconds."""
 
-LEADS_WITHIN_S = 3.0
+LEADS_TIMEOUT_S = 3.0
 """Time within which a promoted endpoint should say that it leads, in seconds."""
 
 LEADS_POLL_S = 0.06
 """Time between looks at whether it does, in seconds."""
 
-TAKES_EFFECT_S = 1.5
+PROMOTION_EFFECT_S = 1.5
 """Time within which a promotion that was answered takes effect, in seconds.
 
 The slowest endpoints known take a second.
@@ -39,21 +39,21 @@
     def __init__(self, state: SharedState, prober: Prober) -> None:
         self._state = state
         self._prober = prober
-        self._told: dict[str, tuple[float, list[Candidate]]] = {}
+        self._cached_candidates: dict[str, tuple[float, list[Candidate]]] = {}
 
     async def candidates(
         self, group: str, old: str, no_older_than_s: float = 0.0
     ) -> list[Candidate]:
         """Return what the group's replicas have received, asked for lately or now."""
-        asked_at, told = self._told.get(group, (-math.inf, []))
+        asked_at, cached = self._cached_candidates.get(group, (-math.inf, []))
         if trio.current_time() - asked_at < no_older_than_s:
-            return told
+            return cached
         asked_at = trio.current_time()
-        found = await self._ask_replicas(group, old)
-        self._told[group] = (asked_at, found)
+        found = await self._query_replicas(group, old)
+        self._cached_candidates[group] = (asked_at, found)
         return found
 
-    async def _ask_replicas(self, group: str, old: str) -> list[Candidate]:
+    async def _query_replicas(self, group: str, old: str) -> list[Candidate]:
         replicas = [
             row
             for row in self._state.endpoints.of_group(group)
@@ -61,27 +61,27 @@
         ]
         return [
             Candidate(row.name, status.received, row.entry.data_centre)
-            for row, status in await self._ask(replicas)
+            for row, status in await self._query_all(replicas)
         ]
 
     async def statuses(self, group: str) -> dict[str, EndpointStatus]:
         """Return what the registered endpoints of ``group`` tell of themselves, asked now."""
-        told = await self._ask(self._state.endpoints.of_group(group))
-        return {row.name: status for row, status in told}
+        replies = await self._query_all(self._state.endpoints.of_group(group))
+        return {row.name: status for row, status in replies}
 
-    async def _ask(self, rows: list[EndpointRow]) -> list[tuple[EndpointRow, EndpointStatus]]:
+    async def _query_all(self, rows: list[EndpointRow]) -> list[tuple[EndpointRow, EndpointStatus]]:
         """Ask these endpoints at once; return what those say that answer."""
-        told: list[tuple[EndpointRow, EndpointStatus]] = []
+        replies: list[tuple[EndpointRow, EndpointStatus]] = []
 
         async def ask(row: EndpointRow) -> None:
             status = await self.status(row)
             if status is not None:
-                told.append((row, status))
+                replies.append((row, status))
 
         async with trio.open_nursery() as nursery:
             for row in rows:
                 nursery.start_soon(ask, row)
-        return told
+        return replies
 
     async def status(self, row: EndpointRow) -> EndpointStatus | None:
         """Return what an endpoint says of itself, or None if it does not answer."""
@@ -91,27 +91,27 @@
             self._state.log.event("no_status", endpoint=row.name, why=str(error))
             return None
 
-    def keeps_acknowledged(self, group: str) -> bool:
+    def has_sync_replicas(self, group: str) -> bool:
         """Return whether ``group``'s writes are on a replica before they are acknowledged."""
         limits = self._state.configuration.groups.get(group)
         return limits is not None and limits.sync_replicas > 0
 
-    async def holds_everything(self, group: str, old: str) -> str | None:
+    async def complete_replica(self, group: str, old: str) -> str | None:
         """Return the replica that surely holds every acknowledged write; None if none surely does.
 
         To be asked once every box has stopped using ``old``. An acknowledged write is on
         some replica, which one is not known: all of them must answer.
         """
         replicas = [row for row in self._state.endpoints.of_group(group) if row.name != old]
-        found = await self._ask_replicas(group, old)
+        found = await self._query_replicas(group, old)
         best = best_candidate(found)
-        silent = {row.name for row in replicas} - {each.name for each in found}
-        if best is None or silent:
-            self._state.log.event("replicas_not_known", group=group, silent=sorted(silent))
+        unresponsive = {row.name for row in replicas} - {each.name for each in found}
+        if best is None or unresponsive:
+            self._state.log.event("replicas_not_known", group=group, silent=sorted(unresponsive))
             return None
         return best.name
 
-    async def wait_caught_up(self, moving: FailingOver) -> bool:
+    async def wait_caught_up(self, failover: FailingOver) -> bool:
         """Wait until the successor has received all that the old primary holds.
 
         Returns
@@ -119,46 +119,46 @@
         bool
             Whether it has.
         """
-        old = self._state.endpoints.rows.get(moving.old.endpoint)
-        new = self._state.endpoints.rows.get(moving.successor)
+        old = self._state.endpoints.rows.get(failover.old.endpoint)
+        new = self._state.endpoints.rows.get(failover.successor)
         if old is None or new is None:
             return False
-        with trio.move_on_after(CATCH_UP_S):
+        with trio.move_on_after(CATCH_UP_TIMEOUT_S):
             while True:
                 at_old, at_new = await self.status(old), await self.status(new)
                 if at_old is not None and at_new is not None and at_new.received >= at_old.received:
                     return True
                 await trio.sleep(LEADS_POLL_S)
-        self._state.log.event("successor_behind", endpoint=moving.successor)
+        self._state.log.event("successor_behind", endpoint=failover.successor)
         return False
 
-    async def best(self, group: str, moving: FailingOver, no_older_than_s: float = 0.0) -> str:
+    async def best(self, group: str, failover: FailingOver, no_older_than_s: float = 0.0) -> str:
         """Return the endpoint that has received most, the recorded one if it has."""
         # A doubted primary is a candidate like the others.
-        old = "" if moving.old.is_unverified else moving.old.endpoint
+        old = "" if failover.old.is_unverified else failover.old.endpoint
         candidates = await self.candidates(group, old, no_older_than_s)
         best = best_candidate(candidates)
-        named = next((each for each in candidates if each.name == moving.successor), None)
-        if best is None or (named is not None and named.received >= best.received):
-            return moving.successor
+        recorded = next((each for each in candidates if each.name == failover.successor), None)
+        if best is None or (recorded is not None and recorded.received >= best.received):
+            return failover.successor
         return best.name
 
-    async def leading(self, moving: FailingOver) -> Leading | None:
+    async def leading(self, failover: FailingOver) -> Leading | None:
         """Return the successor with its term once it says that it leads.
 
         Where the old primary was doubted, the successor may have led before, in the term that
         it tells until the promotion takes effect: it is asked after that.
         """
-        row = self._state.endpoints.rows.get(moving.successor)
-        may_lead_on = moving.successor == moving.old.endpoint
-        least_term = moving.old.term if may_lead_on else moving.old.term + 1
-        if moving.old.is_unverified:
-            await trio.sleep(TAKES_EFFECT_S)
-        with trio.move_on_after(LEADS_WITHIN_S):
+        row = self._state.endpoints.rows.get(failover.successor)
+        may_lead_on = failover.successor == failover.old.endpoint
+        min_term = failover.old.term if may_lead_on else failover.old.term + 1
+        if failover.old.is_unverified:
+            await trio.sleep(PROMOTION_EFFECT_S)
+        with trio.move_on_after(LEADS_TIMEOUT_S):
             while row is not None and not row.gone:
                 status = await self.status(row)
-                if status is not None and status.leads and status.term >= least_term:
-                    return Leading(moving.successor, status.term)
+                if status is not None and status.leads and status.term >= min_term:
+                    return Leading(failover.successor, status.term)
                 await trio.sleep(LEADS_POLL_S)
-        self._state.log.event("successor_does_not_lead", endpoint=moving.successor)
+        self._state.log.event("successor_does_not_lead", endpoint=failover.successor)
         return None
--- a/wharftiller/daemons/sessions/leadership/verification.py
+++ b/wharftiller/daemons/sessions/leadership/verification.py
@@ -47,7 +47,7 @@
 
     def note(self, record: LeadershipRecord) -> None:
         """Note since when primaries are doubted; a further restoration begins anew."""
-        if not record.doubted:
+        if not record.unverified:
             self._since = math.inf
             self._asked_at.clear()
         elif self._since == math.inf or record.era != self._era:
@@ -56,28 +56,28 @@
 
     def verified(self, record: LeadershipRecord) -> set[str]:
         """Return the doubted groups on whose primary this box holds a valid lease."""
-        return record.doubted.keys() & self._state.leases.surely_led(trio.current_time())
+        return record.unverified.keys() & self._state.leases.leased_groups(trio.current_time())
 
-    async def clear(self, record: LeadershipRecord, sure: set[str], turn: int) -> bool:
-        """Record ``sure``, which this box vouches for, as led; return whether it did.
+    async def clear(self, record: LeadershipRecord, verified: set[str], rank: int) -> bool:
+        """Record ``verified``, which this box vouches for, as led; return whether it did.
 
         Parameters
         ----------
         turn : int
             How many boxes go first.
         """
-        if trio.current_time() - self._since < turn * RANK_DELAY_S:
+        if trio.current_time() - self._since < rank * RANK_DELAY_S:
             return False
-        for group in sorted(sure):
-            leading = attrs.evolve(record.doubted[group], is_unverified=False)
+        for group in sorted(verified):
+            leading = attrs.evolve(record.unverified[group], is_unverified=False)
             record = record.with_group(group, leading)
-        self._state.log.change("doubts_cleared", groups=sorted(sure))
+        self._state.log.change("doubts_cleared", groups=sorted(verified))
         return await self._writer.write(record)
 
-    async def successor(self, group: str, doubted: Leading, turn: int) -> str | None:
+    async def successor(self, group: str, unverified: Leading, rank: int) -> str | None:
         """Return whom to promote in ``group``, None while that cannot be told."""
         now = trio.current_time()
-        unverified_s = now - self._since - turn * RANK_DELAY_S
+        unverified_s = now - self._since - rank * RANK_DELAY_S
         asked_s = now - self._asked_at.get(group, -math.inf)
         if unverified_s < ORDERS_EFFECT_S or asked_s < RETRY_S:
             return None
@@ -93,11 +93,11 @@
             is_settled=self._state.leases.is_settled(trio.current_time()),
             sync_replicas=0 if limits is None else limits.sync_replicas,
         )
-        successor = choose_successor(doubted, evidence)
+        successor = choose_successor(unverified, evidence)
         self._state.log.event(
             "primary_doubted",
             group=group,
-            recorded=doubted.endpoint,
+            recorded=unverified.endpoint,
             told=[_described(name, status) for name, status in statuses.items()],
             silent=sorted(evidence.silent | evidence.vanished),
             doubted_s=round(unverified_s, 1),
--- a/wharftiller/tests/core/leadership/histories.py
+++ b/wharftiller/tests/core/leadership/histories.py
@@ -25,14 +25,14 @@
 from wharftiller.tests.core.leadership.weak_table import Rules, WeakTable
 
 GROUP = "seats"
-END_S = 60.0
-CALL_S = 0.8
+HISTORY_S = 60.0
+MAX_CALL_S = 0.8
 """Longest time of an answered call, in seconds."""
 
-COPY_AGE_S = 5.0
+MAX_COPY_AGE_S = 5.0
 """Greatest age of a copy that the platform comes back from, in seconds."""
 
-DOUBTS_S = 0.5
+VERIFY_POLL_S = 0.5
 """Time between a box's looks at primaries that are doubted, in seconds."""
 
 
@@ -46,10 +46,10 @@
     listed_since: float | None = None
     frozen_until: float = 0.0
     dead: bool = False
-    moving: bool = False
+    is_failing_over: bool = False
     away_until: float = 0.0
-    doubts_since: float | None = None
-    marks: dict[str, tuple[int, float]] = attrs.field(factory=dict)
+    unverified_since: float | None = None
+    tombstones: dict[str, tuple[int, float]] = attrs.field(factory=dict)
     answered_at: dict[str, float] = attrs.field(factory=dict)
 
 
@@ -72,12 +72,12 @@
     """
 
     def __init__(
-        self, seed: int, rules: Rules, *, deaths: bool = False, restores: bool = False
+        self, seed: int, rules: Rules, *, has_deaths: bool = False, has_restores: bool = False
     ) -> None:
-        self._deaths = deaths
-        self._restores = restores
+        self._has_deaths = has_deaths
+        self._has_restores = has_restores
         self._random = random.Random(seed)
-        self._doubt_dice = random.Random(f"doubts of {seed}")
+        self._verification_random = random.Random(f"doubts of {seed}")
         self._endpoints = ModelEndpoints(seed)
         self._rules = rules
         self._events: list[_Event] = []
@@ -85,11 +85,11 @@
         self.now = 0.0
         first = LeadershipRecord(1, 0, "", "", {GROUP: Leading("p0")})
         self._platform = ModelPlatform(first)
-        self.unwaited = 0
+        self.presumed_dead = 0
         self.boxes: list[ModelBox] = []
         self.primary = "p0"
         self.promotions = 0
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self._names = itertools.count()
         self._cuts: dict[frozenset[str], float] = {}
 
@@ -97,23 +97,23 @@
         """Play it to its end."""
         for _ in range(self._random.randint(2, 4)):
             self._start_box()
-        self._at(self._random.uniform(0, 4), self._trouble)
-        if self._restores:
-            self._at(self._random.uniform(2, 10), self._copy)
-        while self._events and self.now < END_S:
+        self._at(self._random.uniform(0, 4), self._inject_fault)
+        if self._has_restores:
+            self._at(self._random.uniform(2, 10), self._take_copy)
+        while self._events and self.now < HISTORY_S:
             event = heapq.heappop(self._events)
             self.now = max(self.now, event.at)
             event.run()
-            self._judge()
+            self._check_leases()
 
     def _at(self, delay_s: float, run: Callable[[], None]) -> None:
         heapq.heappush(self._events, _Event(self.now + delay_s, next(self._numbers), run))
 
-    def _judge(self) -> None:
+    def _check_leases(self) -> None:
         for box in self.boxes:
             lease = box.table.lease(GROUP, self.now)
             if not box.dead and lease is not None and lease.endpoint != self.primary:
-                self.wrong.append(f"{self.now:.2f}: {box.name} uses {lease.endpoint}")
+                self.violations.append(f"{self.now:.2f}: {box.name} uses {lease.endpoint}")
 
     # Boxes --------------------------------------------------------------
 
@@ -122,16 +122,18 @@
         box = ModelBox(name or f"b{next(self._names)}", table)
         self.boxes.append(box)
         self._at(0.0, lambda: self._read(box))
-        self._at(0.3, lambda: self._round(box))
-        if self._restores and self._rules.copies_are_doubted:
-            self._at(self._doubt_dice.uniform(0.0, DOUBTS_S), lambda: self._doubts(box))
+        self._at(0.3, lambda: self._renew(box))
+        if self._has_restores and self._rules.copies_are_unverified:
+            self._at(
+                self._verification_random.uniform(0.0, VERIFY_POLL_S), lambda: self._verify(box)
+            )
 
-    def _later(self, box: ModelBox, run: Callable[[], None]) -> None:
+    def _when_awake(self, box: ModelBox, run: Callable[[], None]) -> None:
         """Run now, or when the box thaws; never once it is dead."""
         if box.dead:
             return
         if box.frozen_until > self.now:
-            self._at(box.frozen_until - self.now, lambda: self._later(box, run))
+            self._at(box.frozen_until - self.now, lambda: self._when_awake(box, run))
             return
         run()
 
@@ -142,7 +144,7 @@
         return self.now >= self._cuts.get(frozenset((a.name, b.name)), 0.0)
 
     def _read(self, box: ModelBox) -> None:
-        self._later(box, lambda: self._read_now(box))
+        self._when_awake(box, lambda: self._read_now(box))
 
     def _read_now(self, box: ModelBox) -> None:
         self._at(self._random.choice((1.0, 1.0, 4.0)), lambda: self._read(box))
@@ -150,29 +152,29 @@
         if not self._reaches_platform(box):
             return
         platform = self._platform
-        first = platform.listed.get(box.name) is not box or box.name in platform.marks
+        first = platform.listed.get(box.name) is not box or box.name in platform.tombstones
         if first:
             platform.listed[box.name] = box
-            platform.marks.pop(box.name, None)
+            platform.tombstones.pop(box.name, None)
         record = platform.read_record()
-        listed, marks = dict(platform.listed), dict(platform.marks)
-        delay = self._random.uniform(0, CALL_S)
+        listed, tombstones = dict(platform.listed), dict(platform.tombstones)
+        delay = self._random.uniform(0, MAX_CALL_S)
 
         def answered() -> None:
-            self._take_marks(box, marks)
-            self._answered(box, record, listed, asked_at, first)
+            self._update_tombstones(box, tombstones)
+            self._handle_platform_reply(box, record, listed, asked_at, first)
 
-        self._at(delay, lambda: self._later(box, answered))
+        self._at(delay, lambda: self._when_awake(box, answered))
 
-    def _take_marks(self, box: ModelBox, marks: dict[str, int]) -> None:
-        box.marks = {
-            name: box.marks[name]
-            if name in box.marks and box.marks[name][0] == mark
-            else (mark, self.now)
-            for name, mark in marks.items()
+    def _update_tombstones(self, box: ModelBox, tombstones: dict[str, int]) -> None:
+        box.tombstones = {
+            name: box.tombstones[name]
+            if name in box.tombstones and box.tombstones[name][0] == tombstone
+            else (tombstone, self.now)
+            for name, tombstone in tombstones.items()
         }
 
-    def _answered(
+    def _handle_platform_reply(
         self,
         box: ModelBox,
         record: LeadershipRecord,
@@ -192,11 +194,11 @@
         if self._reaches_platform(box):
             self._write_back(box)
 
-    def _round(self, box: ModelBox) -> None:
-        self._later(box, lambda: self._round_now(box))
+    def _renew(self, box: ModelBox) -> None:
+        self._when_awake(box, lambda: self._renew_now(box))
 
-    def _round_now(self, box: ModelBox) -> None:
-        self._at(1.0, lambda: self._round(box))
+    def _renew_now(self, box: ModelBox) -> None:
+        self._at(1.0, lambda: self._renew(box))
         asked_at = self.now
         answers: list[RenewalReply] = []
         for other in self.boxes:
@@ -208,28 +210,30 @@
                     RenewalReply(other.name, other.table.read_from_platform, other.table.record)
                 )
         delay = self._random.uniform(0, 0.5)
-        self._at(delay, lambda: self._later(box, lambda: self._round_ends(box, answers, asked_at)))
+        self._at(
+            delay, lambda: self._when_awake(box, lambda: self._end_renewal(box, answers, asked_at))
+        )
 
-    def _round_ends(self, box: ModelBox, answers: list[RenewalReply], asked_at: float) -> None:
+    def _end_renewal(self, box: ModelBox, answers: list[RenewalReply], asked_at: float) -> None:
         box.table.renewal_ended(answers, asked_at if self._rules.asked_time_counts else self.now)
 
     # Trouble ------------------------------------------------------------
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         pick = self._random
-        self._at(pick.uniform(0.1, 4.0), self._trouble)
+        self._at(pick.uniform(0.1, 4.0), self._inject_fault)
         alive = [each for each in self.boxes if not each.dead]
         if not alive:
             return
         box = pick.choice(alive)
-        match pick.randrange(11 if self._deaths else 9):
+        match pick.randrange(11 if self._has_deaths else 9):
             case 9:
                 box.dead = sum(not each.dead for each in self.boxes) > 2
             case 10:
                 # Any box may be marked, whether it is dead or only seems to be.
                 name = pick.choice(list(self._platform.listed) or [""])
                 if self._reaches_platform(box) and name not in ("", box.name):
-                    self._platform.marks[name] = next(self._numbers)
+                    self._platform.tombstones[name] = next(self._numbers)
             case 0:
                 box.frozen_until = self.now + pick.uniform(0.5, 9)
             case 1:
@@ -247,11 +251,11 @@
             case 5 if len([each for each in self.boxes if not each.dead]) < 5:
                 self._start_box()
             case _:
-                self._later(box, lambda: self._win(box))
+                self._when_awake(box, lambda: self._begin_failover(box))
 
     # Copies of the platform ----------------------------------------------
 
-    def _copy(self) -> None:
+    def _take_copy(self) -> None:
         """Take a copy; the platform is away in some seconds and comes back from it."""
         platform = self._platform
         copy = platform.copy()
@@ -259,47 +263,47 @@
 
         def away() -> None:
             platform.away_until = max(platform.away_until, self.now + away_s)
-            self._at(away_s, lambda: platform.come_back_from(copy))
+            self._at(away_s, lambda: platform.restore(copy))
 
-        self._at(self._random.uniform(0.1, COPY_AGE_S), away)
-        self._at(self._random.uniform(8, 20), self._copy)
+        self._at(self._random.uniform(0.1, MAX_COPY_AGE_S), away)
+        self._at(self._random.uniform(8, 20), self._take_copy)
 
     def _write_back(self, box: ModelBox) -> None:
-        written = box.table.to_write_back(self.now)
+        written = box.table.record_to_write_back(self.now)
         if written is None or self._platform.record.revision != written.revision:
             return
         box.table.adopt(self._platform.write(written))
 
     # Doubted primaries ----------------------------------------------------
 
-    def _doubts(self, box: ModelBox) -> None:
-        self._later(box, lambda: self._doubts_now(box))
+    def _verify(self, box: ModelBox) -> None:
+        self._when_awake(box, lambda: self._verify_now(box))
 
-    def _doubts_now(self, box: ModelBox) -> None:
-        self._at(DOUBTS_S, lambda: self._doubts(box))
-        believed = box.table.record
-        if GROUP not in believed.doubted:
-            box.doubts_since = None
+    def _verify_now(self, box: ModelBox) -> None:
+        self._at(VERIFY_POLL_S, lambda: self._verify(box))
+        known = box.table.record
+        if GROUP not in known.unverified:
+            box.unverified_since = None
             return
-        if box.doubts_since is None:
-            box.doubts_since = self.now
-        if believed.revision != self._platform.record.revision or not self._reaches_platform(box):
+        if box.unverified_since is None:
+            box.unverified_since = self.now
+        if known.revision != self._platform.record.revision or not self._reaches_platform(box):
             return
-        if GROUP in box.table.surely_led(self.now):
-            sure = attrs.evolve(believed.doubted[GROUP], is_unverified=False)
-            box.table.adopt(self._replace_record(believed.with_group(GROUP, sure)))
+        if GROUP in box.table.leased_groups(self.now):
+            verified = attrs.evolve(known.unverified[GROUP], is_unverified=False)
+            box.table.adopt(self._replace_record(known.with_group(GROUP, verified)))
             return
         evidence = VerificationEvidence(
             self._endpoints.statuses(self.now),
             self._endpoints.silent(self.now),
             frozenset(),
-            self.now - box.doubts_since,
+            self.now - box.unverified_since,
             box.table.is_settled(self.now),
         )
-        successor = choose_successor(believed.doubted[GROUP], evidence)
-        if successor is not None and not box.moving:
-            moving = FailingOver(believed.doubted[GROUP], successor, planned=False)
-            self._take_record(box, believed, moving, self._doubt_dice)
+        successor = choose_successor(known.unverified[GROUP], evidence)
+        if successor is not None and not box.is_failing_over:
+            failover = FailingOver(known.unverified[GROUP], successor, planned=False)
+            self._take_record(box, known, failover, self._verification_random)
 
     def _replace_record(self, record: LeadershipRecord) -> LeadershipRecord:
         self._platform.written_at = self.now
@@ -308,49 +312,57 @@
 
     # A change of primary ------------------------------------------------
 
-    def _win(self, box: ModelBox) -> None:
-        if box.moving or not box.table.read_from_platform or not self._reaches_platform(box):
+    def _begin_failover(self, box: ModelBox) -> None:
+        if (
+            box.is_failing_over
+            or not box.table.read_from_platform
+            or not self._reaches_platform(box)
+        ):
             return
-        believed = box.table.record
-        if believed.revision != self._platform.record.revision:
+        known = box.table.record
+        if known.revision != self._platform.record.revision:
             return
         if self._rules.settled_first and not box.table.is_settled(self.now):
             return
-        state = believed.groups[GROUP]
+        state = known.groups[GROUP]
         match state:
             case Leading():
-                moving = FailingOver(state, f"p{self._platform.revision + 1}", planned=False)
+                failover = FailingOver(state, f"p{self._platform.revision + 1}", planned=False)
             case FailingOver() if self.now - self._platform.written_at > TAKE_OVER_S:
-                moving = state
+                failover = state
             case _:
                 return
-        self._take_record(box, believed, moving, self._random)
+        self._take_record(box, known, failover, self._random)
 
     def _take_record(
-        self, box: ModelBox, believed: LeadershipRecord, moving: FailingOver, dice: random.Random
+        self, box: ModelBox, known: LeadershipRecord, failover: FailingOver, dice: random.Random
     ) -> None:
-        held = attrs.evolve(believed, fence=believed.fence + 1, holder=box.name)
-        won = self._replace_record(held.with_group(GROUP, moving))
-        box.moving = True
+        held = attrs.evolve(known, fence=known.fence + 1, holder=box.name)
+        won = self._replace_record(held.with_group(GROUP, failover))
+        box.is_failing_over = True
         # What was read before the win may still be on its way to other boxes.
         listed = dict(self._platform.listed) if self._rules.list_read_after_win else None
-        marks = dict(self._platform.marks)
-        delay = dice.uniform(0, CALL_S)
-        self._at(delay, lambda: self._later(box, lambda: self._won(box, won, listed, marks)))
+        tombstones = dict(self._platform.tombstones)
+        delay = dice.uniform(0, MAX_CALL_S)
+        self._at(
+            delay, lambda: self._when_awake(box, lambda: self._on_won(box, won, listed, tombstones))
+        )
 
-    def _won(
+    def _on_won(
         self,
         box: ModelBox,
         won: LeadershipRecord,
         listed: dict[str, ModelBox] | None,
-        marks: dict[str, int],
+        tombstones: dict[str, int],
     ) -> None:
         box.table.adopt(won)
         box.table.release_lease(GROUP, won.moving[GROUP].old.endpoint)
         silent = set(listed if listed is not None else box.table.boxes) - {box.name}
-        self._take_marks(box, marks)
-        dead = {name for name in silent & box.marks.keys() if self._is_surely_dead(box, name)}
-        self.unwaited += len(dead)
+        self._update_tombstones(box, tombstones)
+        dead = {
+            name for name in silent & box.tombstones.keys() if self._is_confirmed_dead(box, name)
+        }
+        self.presumed_dead += len(dead)
         silent -= dead
         self._request_releases(box, won, silent, self.now)
 
@@ -360,7 +372,7 @@
         won: LeadershipRecord,
         silent: set[str],
         won_at: float,
-        vouched: bool = False,
+        has_old_member: bool = False,
     ) -> None:
         for other in self.boxes:
             awake = not other.dead and other.frozen_until <= self.now
@@ -368,27 +380,29 @@
                 other.table.adopt(won)
                 other.table.release_lease(GROUP, won.moving[GROUP].old.endpoint)
                 silent.discard(other.name)
-                vouched |= self._is_old(other)
-        old_member = self._is_old(box) or vouched or not self._rules.promoter_is_old_member
+                has_old_member |= self._is_old_member(other)
+        old_member = (
+            self._is_old_member(box) or has_old_member or not self._rules.promoter_is_old_member
+        )
         if not silent or (self.now >= won_at + LEASE_S and old_member):
             self._promote(box, won)
             return
         self._at(
             0.2,
-            lambda: self._later(
-                box, lambda: self._request_releases(box, won, silent, won_at, vouched)
+            lambda: self._when_awake(
+                box, lambda: self._request_releases(box, won, silent, won_at, has_old_member)
             ),
         )
 
-    def _is_surely_dead(self, box: ModelBox, name: str) -> bool:
-        marked_at = box.marks[name][1] if self._rules.marks_must_stand else -math.inf
+    def _is_confirmed_dead(self, box: ModelBox, name: str) -> bool:
+        tombstoned_at = box.tombstones[name][1] if self._rules.tombstones_must_age else -math.inf
         answered_at = box.answered_at.get(name, -math.inf)
-        if not self._rules.answered_rounds_count:
+        if not self._rules.answered_renewals_count:
             answered_at = -math.inf
         listed_s = 0.0 if box.listed_since is None else self.now - box.listed_since
-        return holds_no_lease(marked_at, answered_at, listed_s, self.now)
+        return holds_no_lease(tombstoned_at, answered_at, listed_s, self.now)
 
-    def _is_old(self, box: ModelBox) -> bool:
+    def _is_old_member(self, box: ModelBox) -> bool:
         """Return whether every other box's list must hold ``box`` by now."""
         since = box.listed_since
         return since is not None and self.now - since > LISTING_S + LEASE_S
@@ -399,30 +413,30 @@
         self.primary = won.moving[GROUP].successor
         self._endpoints.promote(self.primary, self.now)
         self.promotions += 1
-        self._at(0.3, lambda: self._later(box, lambda: self._lead(box, won)))
+        self._at(0.3, lambda: self._when_awake(box, lambda: self._record_promoted(box, won)))
 
-    def _lead(self, box: ModelBox, won: LeadershipRecord) -> None:
+    def _record_promoted(self, box: ModelBox, won: LeadershipRecord) -> None:
         if self._platform.record.revision != won.revision:
             return
         if not self._reaches_platform(box):
-            self._at(0.5, lambda: self._later(box, lambda: self._lead(box, won)))
+            self._at(0.5, lambda: self._when_awake(box, lambda: self._record_promoted(box, won)))
             return
         leading = Leading(won.moving[GROUP].successor, self._platform.revision + 1)
         led = attrs.evolve(won, updates=won.updates + 1).with_group(GROUP, leading)
         box.table.adopt(self._platform.write(led))
-        box.moving = False
+        box.is_failing_over = False
 
 
-def play(
-    seeds: Iterable[int], rules: Rules, *, deaths: bool = False, restores: bool = False
+def run_histories(
+    seeds: Iterable[int], rules: Rules, *, has_deaths: bool = False, has_restores: bool = False
 ) -> tuple[int, list[int]]:
     """Return the promotions of these histories, and the seeds in which a use was wrong."""
     promotions = 0
-    wrong: list[int] = []
+    violations: list[int] = []
     for seed in seeds:
-        history = History(seed, rules, deaths=deaths, restores=restores)
+        history = History(seed, rules, has_deaths=has_deaths, has_restores=has_restores)
         history.run()
         promotions += history.promotions
-        if history.wrong:
-            wrong.append(seed)
-    return promotions, wrong
+        if history.violations:
+            violations.append(seed)
+    return promotions, violations
--- a/wharftiller/tests/core/leadership/model_endpoints.py
+++ b/wharftiller/tests/core/leadership/model_endpoints.py
@@ -12,16 +12,16 @@
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.sessions.statements import EndpointStatus
 
-KNOWS_LATE_S = 15.0
+MAX_DEMOTION_DELAY_S = 15.0
 """Longest time for which a replaced primary goes on believing that it leads, in seconds."""
 
-DARK_S = 25.0
+MAX_UNRESPONSIVE_S = 25.0
 """Longest time for which an endpoint answers nobody, in seconds."""
 
-DARK_PART = 0.4
+UNRESPONSIVE_FRACTION = 0.4
 """Part of the promotions after which the new primary falls silent within a second."""
 
-UNLISTED_PART = 0.3
+UNLISTED_FRACTION = 0.3
 """Part of the silent ones that are not registered meanwhile either."""
 
 
@@ -31,14 +31,14 @@
 
     name: str
     term: int
-    believes_until: float = float("inf")
-    dark_from: float = float("inf")
-    dark_until: float = float("inf")
+    leads_until: float = float("inf")
+    unresponsive_from: float = float("inf")
+    unresponsive_until: float = float("inf")
     is_unlisted: bool = False
 
-    def is_dark(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Return whether it answers nobody."""
-        return self.dark_from <= now < self.dark_until
+        return self.unresponsive_from <= now < self.unresponsive_until
 
 
 class ModelEndpoints:
@@ -54,12 +54,14 @@
         if name == self._primary.name:
             return
         dice = self._random
-        self._primary.believes_until = now + dice.uniform(0.0, KNOWS_LATE_S)
+        self._primary.leads_until = now + dice.uniform(0.0, MAX_DEMOTION_DELAY_S)
         promoted = ModelEndpoint(name, self._primary.term + 1)
-        if dice.random() < DARK_PART:
-            promoted.dark_from = now + dice.random()
-            promoted.dark_until = promoted.dark_from + dice.uniform(0.0, DARK_S)
-            promoted.is_unlisted = dice.random() < UNLISTED_PART
+        if dice.random() < UNRESPONSIVE_FRACTION:
+            promoted.unresponsive_from = now + dice.random()
+            promoted.unresponsive_until = promoted.unresponsive_from + dice.uniform(
+                0.0, MAX_UNRESPONSIVE_S
+            )
+            promoted.is_unlisted = dice.random() < UNLISTED_FRACTION
         self._all[name] = self._primary = promoted
 
     def statuses(self, now: float) -> dict[str, EndpointStatus]:
@@ -67,16 +69,18 @@
         return {
             name: self._status(each, now)
             for name, each in self._all.items()
-            if not each.is_dark(now)
+            if not each.is_unresponsive(now)
         }
 
     def silent(self, now: float) -> frozenset[str]:
         """Return those that are registered and do not answer now."""
         return frozenset(
-            each.name for each in self._all.values() if each.is_dark(now) and not each.is_unlisted
+            each.name
+            for each in self._all.values()
+            if each.is_unresponsive(now) and not each.is_unlisted
         )
 
     def _status(self, endpoint: ModelEndpoint, now: float) -> EndpointStatus:
-        leads = endpoint is self._primary or now < endpoint.believes_until
+        leads = endpoint is self._primary or now < endpoint.leads_until
         term = endpoint.term if leads else self._primary.term
         return EndpointStatus(leads, term, LogPosition(endpoint.term, 0), connections=0)
--- a/wharftiller/tests/core/leadership/model_platform.py
+++ b/wharftiller/tests/core/leadership/model_platform.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from wharftiller.tests.core.leadership.histories import ModelBox
 
-ERA_REVISIONS = 10**6
+REVISIONS_PER_ERA = 10**6
 """Revisions of one era; those of the next come after them, whatever the platform counts."""
 
 
@@ -22,7 +22,7 @@
     revision: int
     record: LeadershipRecord
     listed: dict[str, ModelBox]
-    marks: dict[str, int]
+    tombstones: dict[str, int]
 
 
 @attrs.define(eq=False)
@@ -47,7 +47,7 @@
     revision: int = 1
     era: int = 0
     listed: dict[str, ModelBox] = attrs.field(factory=dict)
-    marks: dict[str, int] = attrs.field(factory=dict)
+    tombstones: dict[str, int] = attrs.field(factory=dict)
     away_until: float = 0.0
     written_at: float = 0.0
 
@@ -63,15 +63,15 @@
 
     def copy(self) -> PlatformCopy:
         """Return what it holds now."""
-        return PlatformCopy(self.revision, self.record, dict(self.listed), dict(self.marks))
+        return PlatformCopy(self.revision, self.record, dict(self.listed), dict(self.tombstones))
 
-    def come_back_from(self, copy: PlatformCopy) -> None:
+    def restore(self, copy: PlatformCopy) -> None:
         """Hold what it held when ``copy`` was taken; revisions are given out anew."""
         self.era += 1
         self.revision = self._in_this_era(copy.revision)
         revision = self._in_this_era(copy.record.revision)
         self.record = attrs.evolve(copy.record, revision=revision, is_confirmed=False)
-        self.listed, self.marks = copy.listed, copy.marks
+        self.listed, self.tombstones = copy.listed, copy.tombstones
 
     def _in_this_era(self, revision: int) -> int:
-        return self.era * ERA_REVISIONS + revision % ERA_REVISIONS
+        return self.era * REVISIONS_PER_ERA + revision % REVISIONS_PER_ERA
--- a/wharftiller/tests/core/leadership/test_lease.py
+++ b/wharftiller/tests/core/leadership/test_lease.py
@@ -23,7 +23,7 @@
     Leading,
 )
 from wharftiller.tests.core.leadership import histories
-from wharftiller.tests.core.leadership.histories import play
+from wharftiller.tests.core.leadership.histories import run_histories
 from wharftiller.tests.core.leadership.weak_table import Rules
 
 GROUP = "seats"
@@ -132,9 +132,9 @@
 
 class TestHistories:
     def test_no_old_primary_is_used_in_random_histories(self) -> None:
-        promotions, wrong = play(range(120), Rules())
+        promotions, violations = run_histories(range(120), Rules())
         assert promotions > 400
-        assert wrong == []
+        assert violations == []
 
     @pytest.mark.parametrize(
         ("rules", "seeds", "lease_s"),
@@ -161,19 +161,19 @@
     ) -> None:
         for module in (lease, histories):
             monkeypatch.setattr(module, "LEASE_S", lease_s)
-        assert play(seeds, rules)[1] == list(seeds)
-        assert play(seeds, Rules())[1] == []
+        assert run_histories(seeds, rules)[1] == list(seeds)
+        assert run_histories(seeds, Rules())[1] == []
 
     def test_boxes_known_to_be_dead_need_not_be_waited_for(self) -> None:
-        promotions, wrong = play(range(120), Rules(), deaths=True)
+        promotions, violations = run_histories(range(120), Rules(), has_deaths=True)
         assert promotions > 300
-        assert wrong == []
+        assert violations == []
 
     @pytest.mark.parametrize(
         ("rules", "seed"),
         [
-            (Rules(marks_must_stand=False), 993),
-            (Rules(answered_rounds_count=False), 274),
+            (Rules(tombstones_must_age=False), 993),
+            (Rules(answered_renewals_count=False), 274),
             (Rules(asked_time_counts=False), 142),
         ],
         ids=["a mark just made", "a box whose rounds are answered", "counted from the answer"],
@@ -181,33 +181,35 @@
     def test_without_one_rule_a_marked_box_uses_an_old_primary(
         self, rules: Rules, seed: int
     ) -> None:
-        assert play([seed], rules, deaths=True)[1] == [seed]
-        assert play([seed], Rules(), deaths=True)[1] == []
+        assert run_histories([seed], rules, has_deaths=True)[1] == [seed]
+        assert run_histories([seed], Rules(), has_deaths=True)[1] == []
 
 
 class TestRestoredPlatform:
     """The platform comes back from copies some seconds old, every 8 to 20 s."""
 
     def test_no_box_uses_an_old_primary(self) -> None:
-        promotions, wrong = play(range(400), Rules(), restores=True)
+        promotions, violations = run_histories(range(400), Rules(), has_restores=True)
         assert promotions > 400
-        assert wrong == []
+        assert violations == []
 
     @pytest.mark.parametrize("seed", [651])
     def test_no_old_primary_is_used_where_all_who_knew_ended(self, seed: int) -> None:
-        assert play([seed], Rules(), restores=True)[1] == []
+        assert run_histories([seed], Rules(), has_restores=True)[1] == []
 
     @pytest.mark.parametrize("seed", [651, 1345])
     def test_nor_where_boxes_also_ended_for_good(self, seed: int) -> None:
-        assert play([seed], Rules(), deaths=True, restores=True)[1] == []
-        undoubted = Rules(copies_are_doubted=False)
-        assert play([seed], undoubted, deaths=True, restores=True)[1] == [seed]
+        assert run_histories([seed], Rules(), has_deaths=True, has_restores=True)[1] == []
+        without_verification = Rules(copies_are_unverified=False)
+        assert run_histories([seed], without_verification, has_deaths=True, has_restores=True)[
+            1
+        ] == [seed]
 
     @pytest.mark.parametrize(
         ("rules", "seed"),
         [
             (Rules(updates_count=False), 2),
-            (Rules(copies_are_doubted=False), 651),
+            (Rules(copies_are_unverified=False), 651),
             (Rules(confirmed_first=False), 337),
             (Rules(confirmed_first=False, eras_count=False), 590),
             (Rules(eras_count=False), 2525),
@@ -227,8 +229,8 @@
         ],
     )
     def test_without_one_rule_a_box_uses_an_old_primary(self, rules: Rules, seed: int) -> None:
-        assert play([seed], rules, restores=True)[1] == [seed]
-        assert play([seed], Rules(), restores=True)[1] == []
+        assert run_histories([seed], rules, has_restores=True)[1] == [seed]
+        assert run_histories([seed], Rules(), has_restores=True)[1] == []
 
     def test_a_list_counts_late_where_another_box_wrote_the_record_back(
         self, table: LeaseTable
@@ -245,19 +247,19 @@
         assert table.is_settled(1.1 + UNSETTLED_S)
 
     def test_a_further_restoration_begins_the_wait_anew(self, table: LeaseTable) -> None:
-        stood = attrs.evolve(record(9, Leading("one")), is_confirmed=False, era=1)
-        table.read(stood, 1.0)
-        table.read(attrs.evolve(stood, revision=19, era=2), 10.0)
-        assert table.to_write_back(1.1 + UNSETTLED_S) is None
+        restored = attrs.evolve(record(9, Leading("one")), is_confirmed=False, era=1)
+        table.read(restored, 1.0)
+        table.read(attrs.evolve(restored, revision=19, era=2), 10.0)
+        assert table.record_to_write_back(1.1 + UNSETTLED_S) is None
         assert not table.is_settled(1.1 + UNSETTLED_S)
 
     def test_what_was_lost_never_comes_back_over_what_was_confirmed(
         self, table: LeaseTable
     ) -> None:
-        stood = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
-        table.read(stood, 1.0)
+        restored = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
+        table.read(restored, 1.0)
         assert table.renewal_ended([answer("box-2"), answer("box-3")], 2.0)
-        confirmed = table.to_write_back(2.5)
+        confirmed = table.record_to_write_back(2.5)
         assert confirmed is not None
         assert confirmed.revision == 9
         table.adopt(attrs.evolve(confirmed, revision=10))
@@ -266,11 +268,11 @@
 
     def test_what_came_back_extends_leases_and_begins_none(self, table: LeaseTable) -> None:
         """Who held one all the while knows that nobody took over; others know nothing."""
-        stood = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
+        restored = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
         fresh = LeaseTable()
         for each in (table, fresh):
             each.listed(["box-2", "box-3"], 1.0)
-            each.read(stood, 1.0)
+            each.read(restored, 1.0)
             assert each.renewal_ended([answer("box-2"), answer("box-3")], 2.0)
         assert table.may_acknowledge(GROUP, "one", 2.0 + LEASE_S - 0.01)
         assert fresh.lease(GROUP, 2.1) is None
@@ -278,9 +280,9 @@
     def test_a_doubt_lasts_until_it_is_cleared(self, table: LeaseTable) -> None:
         fresh = LeaseTable()
         fresh.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
-        written = fresh.to_write_back(1.1 + UNSETTLED_S)
+        written = fresh.record_to_write_back(1.1 + UNSETTLED_S)
         assert written is not None
-        assert written.doubted == {GROUP: Leading("one", is_unverified=True)}
+        assert written.unverified == {GROUP: Leading("one", is_unverified=True)}
         at = 2.0 + UNSETTLED_S
         fresh.read(attrs.evolve(written, revision=10), at)
         assert fresh.lease(GROUP, at) is None
@@ -290,27 +292,27 @@
 
     def test_a_change_that_came_back_leaves_its_old_primary_in_doubt(self) -> None:
         """It may have ended, and another begun, in the seconds that were lost."""
-        moving = FailingOver(Leading("one", 4), "two", planned=False, ordered=True)
-        written = record(9, moving).confirmed_at(9, ())
-        assert written.doubted == {GROUP: Leading("one", 4, is_unverified=True)}
+        failover = FailingOver(Leading("one", 4), "two", planned=False, ordered=True)
+        written = record(9, failover).written_back_over(9, ())
+        assert written.unverified == {GROUP: Leading("one", 4, is_unverified=True)}
         assert written.moving == {}
 
     def test_no_number_of_an_earlier_restoration_is_given_out_again(self) -> None:
-        stood = attrs.evolve(record(2_000, Leading("one")), updates=7)
-        first = stood.confirmed_at(1_000_000, ())
-        again = stood.confirmed_at(2_000_000, ())
+        restored = attrs.evolve(record(2_000, Leading("one")), updates=7)
+        first = restored.written_back_over(1_000_000, ())
+        again = restored.written_back_over(2_000_000, ())
         assert again.fence - first.fence > MAX_LOST_UPDATES
         assert again.updates - first.updates > MAX_LOST_UPDATES
 
     def test_a_silent_box_delays_the_confirmation(self, table: LeaseTable) -> None:
         table.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
         assert not table.renewal_ended([answer("box-2")], 2.0)
-        assert table.to_write_back(1.0 + UNSETTLED_S) is None
-        assert table.to_write_back(1.1 + UNSETTLED_S) is not None
+        assert table.record_to_write_back(1.0 + UNSETTLED_S) is None
+        assert table.record_to_write_back(1.1 + UNSETTLED_S) is not None
         assert not table.is_settled(1.1 + UNSETTLED_S)
 
     def test_a_read_that_comes_late_is_not_taken_for_a_restoration(self, table: LeaseTable) -> None:
         table.adopt(attrs.evolve(record(5, Leading("two")), updates=1))
         table.read(record(4, Leading("one")), 1.0)
-        assert table.to_write_back(1.0) is None
+        assert table.record_to_write_back(1.0) is None
         assert table.is_settled(1.0)
--- a/wharftiller/tests/core/leadership/test_read_schedule.py
+++ b/wharftiller/tests/core/leadership/test_read_schedule.py
@@ -16,8 +16,8 @@
 )
 from wharftiller.core.sessions.bounds import PlatformBounds
 
-PACE = ReadIntervals.within(PlatformBounds())
-CALM = ReadScheduleInputs(
+INTERVALS = ReadIntervals.within(PlatformBounds())
+RENEWED_INPUTS = ReadScheduleInputs(
     since_s=2.0,
     misses_lease=False,
     by_data_centre=False,
@@ -27,7 +27,7 @@
 )
 """Another box reads for all and rounds renew the leases."""
 
-AWAY = {"by_data_centre": True, "renewed": False, "platform_answers": False}
+PLATFORM_UNAVAILABLE = {"by_data_centre": True, "renewed": False, "platform_answers": False}
 """Nobody of a large deployment is answered by the platform."""
 
 
@@ -38,9 +38,9 @@
             ({}, False),
             ({"since_s": SHARED_READ_S}, True),
             ({"reads_for_others": True}, True),
-            ({"reads_for_others": True, "since_s": PACE.reader_s / 2}, False),
+            ({"reads_for_others": True, "since_s": INTERVALS.reader_s / 2}, False),
             ({"renewed": False}, True),
-            ({"known_age_s": PACE.known_s + 0.1}, True),
+            ({"known_age_s": INTERVALS.known_s + 0.1}, True),
             ({"misses_lease": True}, True),
             ({"misses_lease": True, "since_s": MISSING_LEASE_READ_S}, True),
             ({"misses_lease": True, "since_s": MISSING_LEASE_READ_S / 2}, False),
@@ -49,19 +49,19 @@
             ({"by_data_centre": True, "reads_for_others": True}, True),
             ({"platform_answers": False, "renewed": False}, True),
             ({"platform_answers": False, "misses_lease": True, "since_s": 0.5}, False),
-            ({**AWAY, "is_asked": True}, True),
-            ({**AWAY, "is_asked": False}, False),
-            ({**AWAY, "is_asked": False, "misses_lease": True}, False),
-            ({**AWAY, "is_asked": False, "since_s": AWAY_READ_S}, True),
+            ({**PLATFORM_UNAVAILABLE, "is_asked": True}, True),
+            ({**PLATFORM_UNAVAILABLE, "is_asked": False}, False),
+            ({**PLATFORM_UNAVAILABLE, "is_asked": False, "misses_lease": True}, False),
+            ({**PLATFORM_UNAVAILABLE, "is_asked": False, "since_s": AWAY_READ_S}, True),
         ],
     )
     def test_it_is_due_when_nobody_reads_for_this_box(
         self, changes: dict[str, float], due: bool
     ) -> None:
-        assert read_is_due(attrs.evolve(CALM, **changes), PACE) is due  # type: ignore[arg-type]
+        assert read_is_due(attrs.evolve(RENEWED_INPUTS, **changes), INTERVALS) is due  # type: ignore[arg-type]
 
     @pytest.mark.parametrize("in_force_s", [0.5, 1.5, 3.0, 6.0])
     def test_a_change_is_known_in_time_whoever_reads(self, in_force_s: float) -> None:
-        pace = ReadIntervals.within(PlatformBounds(configuration_in_force_s=in_force_s))
-        assert pace.reader_s + pace.known_s < in_force_s
-        assert pace.reader_s <= READER_READS_S
+        intervals = ReadIntervals.within(PlatformBounds(configuration_in_force_s=in_force_s))
+        assert intervals.reader_s + intervals.known_s < in_force_s
+        assert intervals.reader_s <= READER_READS_S
--- a/wharftiller/tests/core/leadership/test_verification.py
+++ b/wharftiller/tests/core/leadership/test_verification.py
@@ -51,9 +51,9 @@
         assert choose_successor(RECORDED, early) is None
 
     def test_nobody_leads_the_newest_term(self) -> None:
-        told = {"one": status(1, 12, leads=True), "three": status(2, 9)}
-        assert choose_successor(RECORDED, evidence(told)) is None
-        assert choose_successor(RECORDED, evidence(told, is_settled=True)) == "three"
+        statuses = {"one": status(1, 12, leads=True), "three": status(2, 9)}
+        assert choose_successor(RECORDED, evidence(statuses)) is None
+        assert choose_successor(RECORDED, evidence(statuses, is_settled=True)) == "three"
 
 
 class TestSomeAreSilent:
@@ -63,13 +63,13 @@
         ids=["registered", "gone"],
     )
     def test_one_that_cannot_be_asked_may_be_in_use(self, unseen: dict[str, object]) -> None:
-        told = {"one": status(1, 12, leads=True), "three": status(1, 9)}
-        assert choose_successor(RECORDED, evidence(told, **unseen)) is None
-        assert choose_successor(RECORDED, evidence(told, **unseen, is_settled=True)) == "one"
+        statuses = {"one": status(1, 12, leads=True), "three": status(1, 9)}
+        assert choose_successor(RECORDED, evidence(statuses, **unseen)) is None
+        assert choose_successor(RECORDED, evidence(statuses, **unseen, is_settled=True)) == "one"
 
     def test_what_a_replica_knows_refutes_the_record_too(self) -> None:
-        told = {"one": status(1, 12, leads=True), "three": status(2, 9)}
-        assert choose_successor(RECORDED, evidence(told, "two", is_settled=True)) == "three"
+        statuses = {"one": status(1, 12, leads=True), "three": status(2, 9)}
+        assert choose_successor(RECORDED, evidence(statuses, "two", is_settled=True)) == "three"
 
     def test_no_acknowledged_write_is_left_behind(self) -> None:
         """Each is on two of three endpoints: one may be silent, not two."""
--- a/wharftiller/tests/core/leadership/weak_table.py
+++ b/wharftiller/tests/core/leadership/weak_table.py
@@ -21,12 +21,12 @@
     list_read_after_win: bool = True
     registered_before_lease: bool = True
     promoter_is_old_member: bool = True
-    marks_must_stand: bool = True
-    answered_rounds_count: bool = True
+    tombstones_must_age: bool = True
+    answered_renewals_count: bool = True
     updates_count: bool = True
     confirmed_first: bool = True
     settled_first: bool = True
-    copies_are_doubted: bool = True
+    copies_are_unverified: bool = True
     eras_count: bool = True
 
 
@@ -54,16 +54,16 @@
             record = attrs.evolve(record, era=0)
         super().read(record, asked_at)
 
-    def to_write_back(self, now: float) -> LeadershipRecord | None:
+    def record_to_write_back(self, now: float) -> LeadershipRecord | None:
         """Return what to write back; without the rule as the copy has it, nothing doubted."""
-        written = super().to_write_back(now)
-        if written is None or self.rules.copies_are_doubted:
+        written = super().record_to_write_back(now)
+        if written is None or self.rules.copies_are_unverified:
             return written
         return attrs.evolve(written, groups=self.record.groups)
 
-    def _only_extends(self, state: Leading) -> bool:
+    def _may_only_extend(self, state: Leading) -> bool:
         """Return whether checks begin no lease; without the rule all of them may."""
-        return self.rules.copies_are_doubted and super()._only_extends(state)
+        return self.rules.copies_are_unverified and super()._may_only_extend(state)
 
     def renewal_ended(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
         """Renew by a round, under weaker rules where some are taken out."""
--- a/wharftiller/tests/platform/test_idle.py
+++ b/wharftiller/tests/platform/test_idle.py
@@ -72,16 +72,16 @@
     def test_turns_are_worked_out_for_primaries_in_need_only(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        turns = []
+        ranks = []
 
-        def counted(mover: FailoverMonitor, what: str) -> int:
-            turns.append(what)
+        def counted(monitor: FailoverMonitor, key: str) -> int:
+            ranks.append(key)
             return 0
 
         async def story(world: World) -> None:
             await trio.sleep(WATCHED_S)
-            monkeypatch.setattr(FailoverMonitor, "_turn", counted)
+            monkeypatch.setattr(FailoverMonitor, "_rank", counted)
             await trio.sleep(WATCHED_S)
-            assert not turns
+            assert not ranks
 
         run_large(story)
