--- a/wharftiller/core/leadership/__init__.py
+++ b/wharftiller/core/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads each group: the record in the platform, this box's lease on it, changes of primary."""
+"""Leadership of groups: the record in the platform, the leases on it, and failovers."""
--- a/wharftiller/core/leadership/failover.py
+++ b/wharftiller/core/leadership/failover.py
@@ -15,60 +15,59 @@
     from wharftiller.core.sessions.endpoints import EndpointRow
 
 UNREACHABLE_S = 1.2
-"""How long a primary must be silent to every box before it is replaced, in seconds.
+"""Time for which a primary must be unresponsive to every box before it is replaced, in seconds.
 
-Writes that no replica had received yet are lost with it (20 to 60 ms of them), so
-a pause of a second is borne first; every further second stops the group's writes.
+Replacing it loses the writes that no replica has received, so short pauses are waited out.
 """
 
 UNREACHABLE_BEHIND_CUT_S = 2.0
-"""How long it must be silent where some boxes are silent too, in seconds.
+"""Time for which it must be unresponsive where some boxes are unresponsive too, in seconds.
 
-The change then waits for those boxes' leases (6 s) and is called off if the primary
-answers meanwhile; all together must stay within 12 s.
+The failover then also waits for the leases of those boxes (6 s), and is cancelled if the
+primary answers meanwhile; together these must stay within 12 s.
 """
 
 LAPSED_MARGIN_S = 2.2
-"""How long before it may end a primary missing from the list is replaced, in seconds.
+"""Time before its shutdown at which a primary missing from the list is replaced, in seconds.
 
-A planned change takes one to two. Until then its entry may come back: a lapsed one does
-within two seconds after a cut heals.
+Longer than a planned failover takes. Until then its entry may reappear: an expired entry is
+renewed within two seconds after a network partition heals.
 """
 
 RANK_DELAY_S = 0.4
-"""Time by which each further box leaves the first move to those before it, in seconds."""
+"""Delay per rank before a box replaces a lost primary, in seconds."""
 
 HANDOVER_RANK_DELAY_S = 0.3
-"""Time by which each further box leaves a planned change to those before it, in seconds."""
+"""Delay per rank before a box starts a planned failover, in seconds."""
 
 SEND_WINDOW_S = 2.0
-"""Time after asking for an ordered record within which its holder may order the promotion.
+"""Time after requesting an ordered record within which its holder may order the promotion.
 
-A read of the answer and the call's own connection, with a margin for a busy box.
+Covers the reply to the update and the connection of the call, with a margin for a busy box.
 """
 
 TAKE_OVER_ORDERED_S = 5.0
-"""Time after which another box may take over a change that may have been ordered, in seconds.
+"""Time after which another box may take over a failover that may have been ordered, in seconds.
 
-The holder's window (2 s), its call's time-out (1.5 s) and a margin for a late effect.
+`SEND_WINDOW_S`, the timeout of the call (1.5 s) and a margin for a late effect.
 """
 
 TAKE_OVER_SILENT_S = 2.0
-"""Time after which a change that was not ordered is taken over from a silent box, in seconds.
+"""Time after which an unordered failover is taken over from an unresponsive box, in seconds.
 
-Its holder cannot order it any more: that needs an update of the record as it stood.
+The takeover updates the record, so the former holder's own update fails and orders nothing.
 """
 
 TAKE_OVER_S = 12.0
-"""Time after which any change that was not ordered is taken over, in seconds.
+"""Time after which any unordered failover is taken over, in seconds.
 
-More than the longest that a working holder takes: the lease (6 s) and its questions.
+Longer than a working holder takes: a lease (6 s) and its requests.
 """
 
 
 @attrs.frozen
 class Candidate:
-    """A replica that could take over, as it last told."""
+    """A replica that could take over, with its last reported log position."""
 
     name: str
     received: LogPosition
@@ -76,12 +75,12 @@
 
 
 def best_candidate(candidates: Iterable[Candidate]) -> Candidate | None:
-    """Return the candidate that has received most; ties go by name."""
+    """Return the candidate with the highest log position; ties go by name."""
     return max(candidates, key=lambda each: (each.received, each.name), default=None)
 
 
 def must_hand_over(row: EndpointRow, rank: int, now: float) -> bool:
-    """Return whether an answering primary must hand over: it is leaving, or not listed."""
+    """Return whether a responsive primary must hand over: it is leaving, or not listed."""
     if row.is_suspect(now) or row.leaving_since is None:
         return False
     wait_s = rank * HANDOVER_RANK_DELAY_S
@@ -91,16 +90,16 @@
 
 
 def is_lost(row: EndpointRow | None, rank: int, now: float, *, all_answer: bool = True) -> bool:
-    """Return whether a primary has been silent to this box for long enough.
+    """Return whether a primary has been unresponsive to this box for long enough to replace it.
 
     Parameters
     ----------
     row : EndpointRow or None
         None if this box never saw it registered.
-    turn : int
-        How many boxes go first.
+    rank : int
+        Number of boxes that act before this one.
     all_answer : bool
-        Whether every other box answers this one.
+        Whether every other box replies to this one.
     """
     if row is None:
         return True
@@ -110,5 +109,5 @@
 
 
 def takeover_rank(box: str, boxes: Iterable[str], group: str) -> int:
-    """Return how many of ``boxes`` go before ``box`` in replacing ``group``'s primary."""
+    """Return how many of ``boxes`` act before ``box`` in replacing ``group``'s primary."""
     return ranked(group, {box, *boxes}).index(box)
--- a/wharftiller/core/leadership/lease.py
+++ b/wharftiller/core/leadership/lease.py
@@ -1,19 +1,19 @@
-"""Leases of this box: until when it may use the primary that it knows of.
+"""Leases of this box: until when it may use the primary in the record.
 
 A lease runs `LEASE_S` from the *sending* of the last check that showed the record
-unchanged, on this box's own steady clock. A box that replaces a primary waits for
-`LEASE_S` after it learned that it won the record, or for every other box's word
-that it stopped; so no box uses an old primary once a new one has taken over.
-
-Two checks renew a lease: reading the record from the platform, and a round of
-questions to every other box that is listed. A round counts only if every box in
-the list answers, if each of them has read the record from the platform since it
-started, and if this box read the list from the platform itself within
-`LISTING_S`. A box that won or saw a newer revision tells it in its answer.
-
-Where the platform came back from a copy, a primary may have been replaced in the seconds
-that were lost, and every box that knew may have ended. What came back then renews only
-leases that are still valid: whoever replaced the primary would have waited for them.
+unchanged, on this box's monotonic clock. A box that replaces a primary waits for
+`LEASE_S` after it learned that it won the record, or until every other box has
+released its lease; so no box uses an old primary once a new one has taken over.
+
+Two checks renew a lease: reading the record from the platform, and a renewal request
+to every other listed box. A renewal counts only if every box in the list replies, if
+each of them has read the record from the platform since it started, and if this box
+read the list from the platform itself within `LISTING_S`. Each reply carries the newest
+record that its box has seen.
+
+Where the platform was restored from a copy, a primary may have been replaced in the lost
+seconds, and every box that knew of it may have ended. The restored record then extends only
+leases that are still valid: a box that replaced the primary would have waited for them.
 """
 
 from __future__ import annotations
@@ -29,44 +29,44 @@
     from collections.abc import Iterable
 
 LEASE_S = 6.0
-"""How long a check counts, in seconds.
+"""Validity of a check, in seconds.
 
-Boxes that a cut leaves on the primary's side go on writing for so long, and a change of
-primary beside a silent box waits for as long: 2 s of silence, this, every box's word and the
-promotion must stay within the 12 s that operators allow a change. It is the same on every
-box at all times, so it is no setting.
+A failover beside an unresponsive box waits this long: the detection (2 s), this wait, every
+release and the promotion must fit in the 12 s allowed for a failover. Not a setting, as it must
+be the same on every box at all times.
 """
 
 LISTING_S = 12.0
-"""How old the list of boxes may be in a round, in seconds.
+"""Maximum age of the list of boxes in a renewal, in seconds.
 
-Writes outlive an outage of the platform by this and a lease. Twice the lease: each second
-more is one that a box must have been listed before it may replace a primary beside a silent
-box, as one that joined less than `LISTING_S` + `LEASE_S` ago may be missing from others' lists.
+In an outage of the platform writes go on for this time and a lease. A box that joined less than
+`LISTING_S` + `LEASE_S` ago may be missing from the lists of others, so it may not replace a
+primary beside an unresponsive box.
 """
 
-
 UNSETTLED_S = 2 * LEASE_S
-"""Time for which a record that the platform came back with is not trusted while a box is silent,
-in seconds: leases that somebody may hold end in half of it, and boxes that were cut off or frozen
-for a moment tell what they know."""
+"""Time for which a restored record is not trusted while a box is unresponsive, in seconds.
+
+All leases end in half of it; in the rest, boxes that were partitioned or paused for a moment
+report the record that they have.
+"""
 
 
 def holds_no_lease(tombstoned_at: float, answered_at: float, listed_s: float, now: float) -> bool:
-    """Return whether another box, marked as dead in the platform's list, surely holds no lease.
+    """Return whether another box, tombstoned in the platform's list, can hold no lease.
 
-    Its own reads show the mark, and such a read does not count until it has registered
-    anew, which replaces the mark. Its rounds need the answer of every box that was listed
-    `LISTING_S` before, this one among them. So nothing renews its leases any more.
+    Its own reads show the tombstone and do not count until it has registered again, which
+    replaces the tombstone. Its renewals need a reply from every box that was listed
+    `LISTING_S` before, including this one. So nothing renews its leases any more.
 
     Parameters
     ----------
     tombstoned_at : float
-        When this box first read the mark that still stands, in seconds.
+        When this box first read the current tombstone, in seconds.
     answered_at : float
-        When this box last answered a round of it, in seconds.
+        When this box last replied to a renewal request of that box, in seconds.
     listed_s : float
-        For how long this box has been listed, in seconds.
+        Time for which this box has been listed, in seconds.
     now : float
         In seconds.
     """
@@ -81,13 +81,13 @@
     Attributes
     ----------
     endpoint : str
-        The primary it is for.
+        The primary.
     checked_at : float
         Sending time of the last check that showed it leading, in seconds.
     closing : bool
         True once nothing new may start under it.
     given_up : bool
-        True once this box gave its word to stop.
+        True once this box has released it.
     """
 
     endpoint: str
@@ -103,7 +103,7 @@
 
 @attrs.frozen
 class RenewalReply:
-    """Another box's answer in a round.
+    """Another box's reply to a renewal request.
 
     Attributes
     ----------
@@ -118,7 +118,7 @@
 
 @attrs.define
 class LeaseTable:
-    """What this box believes of every group's leadership.
+    """The box's view of every group's leadership, and its leases.
 
     Attributes
     ----------
@@ -127,7 +127,7 @@
     read_from_platform : bool
         Whether the record was read from the platform since this process started.
     boxes, boxes_listed_at : frozenset of str, float
-        The other boxes as listed in the platform, and when the list was asked for.
+        The other boxes listed in the platform, and when the list was requested.
     """
 
     record: LeadershipRecord = attrs.field(factory=LeadershipRecord)
@@ -146,7 +146,7 @@
         return lease if lease is not None and lease.valid(now) else None
 
     def misses_lease(self, now: float) -> bool:
-        """Return whether a primary is recorded on which there is no valid lease."""
+        """Return whether there is a recorded primary without a valid lease."""
         return any(
             isinstance(state, Leading) and self.lease(group, now) is None
             for group, state in self.record.groups.items()
@@ -159,7 +159,7 @@
     def may_start(self, group: str, now: float) -> GroupLease | None:
         """Return the lease under which a new write or primary read may be sent.
 
-        While a planned change waits for a silent box's lease to end, the others go on.
+        While a planned failover waits for an unresponsive box's lease to end, the others go on.
         """
         lease = self.lease(group, now)
         return None if lease is None or lease.closing else lease
@@ -170,10 +170,10 @@
         return lease is not None and lease.endpoint == endpoint
 
     def adopt(self, record: LeadershipRecord) -> bool:
-        """Take in a record from anywhere; return whether it is newer than the one known.
+        """Adopt a record from any source if it is newer; return whether it is.
 
-        One that the platform came back with, older than the one known, is not: it would give
-        leases on a primary that has been replaced, and a fence that was used before.
+        A restored record older than the known one is not adopted: it would grant leases on a
+        primary that has been replaced, and a fence that was used before.
         """
         if not record.is_newer_than(self.record):
             return False
@@ -190,7 +190,7 @@
         return True
 
     def read(self, record: LeadershipRecord, asked_at: float) -> None:
-        """Take in a record read from the platform, asked for at ``asked_at`` (seconds)."""
+        """Update from a record read from the platform, requested at ``asked_at`` (seconds)."""
         self.adopt(record)
         if self._shows_restoration(record):
             self._unconfirmed_since = asked_at
@@ -203,11 +203,11 @@
             self._renew(asked_at)
 
     def _shows_restoration(self, record: LeadershipRecord) -> bool:
-        """Return whether the platform came back from a copy since this box last read it.
+        """Return whether the platform was restored from a copy since this box last read it.
 
-        It tells the era in every answer: also where another box wrote the record back before
-        this one saw what came back, and where it comes back again before anybody did. A box that
-        has just started cannot compare; a record that was written back tells it.
+        Every reply of the platform carries its era, so this also detects a restored record that
+        another box has written back already, and a second restoration before any write-back. A
+        box that has just started has no era to compare; a written-back record shows it.
         """
         if not self.read_from_platform:
             return record.is_written_back
@@ -219,11 +219,11 @@
         self._unconfirmed = record
 
     def record_to_write_back(self, now: float) -> LeadershipRecord | None:
-        """Return what to write over a record that the platform came back with; None if nothing.
+        """Return the record to write over a restored one; None if there is nothing to write.
 
-        Reads of such a record renew no lease: a box that knows a newer one may be silent. It is
-        written anew at once by who knows a newer one; by others after a round that every box
-        answered, or after a time in which a box that knows more has written it.
+        Reads of a restored record renew no lease, as an unresponsive box may have a newer one.
+        A box with a newer record writes it back at once; others do so after a renewal to which
+        every box replied, or after a time in which a box with a newer record has written it.
         """
         restored = self._unconfirmed
         if restored is None:
@@ -237,8 +237,8 @@
     def leased_groups(self, now: float) -> set[str]:
         """Return the groups on whose recorded primary there is a valid lease.
 
-        Nobody has replaced such a primary, whatever the platform lost: who does waits until
-        every lease on it has ended.
+        No box has replaced such a primary, whatever the platform lost: a failover waits until
+        every lease on the old primary has ended.
         """
         return {
             group
@@ -251,23 +251,23 @@
     def is_settled(self, now: float) -> bool:
         """Return whether the platform's list names every box that may hold a lease.
 
-        One that it came back with may lack boxes that registered since the copy. Their leases
-        end, or they register anew and are listed, before it counts; no primary is replaced and
-        no box is forgotten until then. Nor does a list that this box read before a restoration
-        which another box told it of.
+        A restored list may lack boxes that registered after the copy. It counts once their
+        leases have ended or they have registered again; until then no primary is replaced and
+        no box is dropped. A list read before a restoration that another box reported does not
+        count either.
         """
         if self._unconfirmed is not None or self.record.era > self._era:
             return False
         return now - self._unconfirmed_since > UNSETTLED_S
 
     def listed(self, boxes: Iterable[str], asked_at: float) -> None:
-        """Take in the platform's list of the other boxes."""
+        """Update from the platform's list of the other boxes."""
         kept = frozenset() if self.is_settled(asked_at) else self.boxes
         self.boxes = frozenset(boxes) | kept
         self.boxes_listed_at = max(self.boxes_listed_at, asked_at)
 
     def renewal_ended(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
-        """Take in a round's answers; return whether it renewed the leases."""
+        """Update from the replies to a renewal request; return whether they renewed the leases."""
         answered: set[str] = set()
         for answer in answers:
             self.adopt(answer.record)
@@ -285,7 +285,7 @@
         return counts
 
     def close(self, group: str, endpoint: str) -> None:
-        """Start nothing new on ``endpoint``; what is under way may end."""
+        """Start nothing new on ``endpoint``; statements in flight may end."""
         lease = self._leases.get(group)
         if lease is not None and lease.endpoint == endpoint:
             lease.closing = True
--- a/wharftiller/core/leadership/read_schedule.py
+++ b/wharftiller/core/leadership/read_schedule.py
@@ -1,4 +1,4 @@
-"""When a box reads from the platform what boxes share: seldom, unless nobody does it for it."""
+"""When a box reads the shared state from the platform: seldom while other boxes read for it."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
     from wharftiller.core.sessions.bounds import PlatformBounds
 
 SHARED_READ_S = 5.0
-"""Time between reads while rounds renew the leases, in seconds.
+"""Time between reads while renewals by other boxes extend the leases, in seconds.
 
-Must stay well below the age that a round allows the list of boxes (12 s).
+Must stay well below the maximum age of the list of boxes in a renewal (12 s).
 """
 
 READER_READS_S = 0.8
-"""Longest time between reads by the box that reads for all, in seconds.
+"""Maximum time between reads by the box that reads for others, in seconds.
 
-Leases of 6 s are renewed by what it reads where there are many boxes.
+Where there are many boxes, its reads renew the leases of the others.
 """
 
 READER_READS_FRACTION = 0.27
-"""Longest time between its reads, as a part of that within which a configuration is in force.
+"""Maximum time between its reads, as a fraction of the bound on configuration changes.
 
-Also where the platform's watches do not tell a change: this part, `READ_KNOWN_FRACTION` for a
-reader that is cut off, and a read must fit in.
+Where the platform's watches miss a change, this fraction, `READ_KNOWN_FRACTION` for a reader
+that is cut off, and the read itself must stay within the bound.
 """
 
 READ_KNOWN_FRACTION = 0.63
-"""Age of the newest read of any box from which a box reads for itself, as such a part.
+"""Age of the newest read of any box from which a box reads for itself, as such a fraction.
 
-Of 3 s: a reader's pause (0.8 s), the time between rounds (1 s), and a margin.
+Covers a reader's interval, the time between renewals and a margin.
 """
 
 MISSING_LEASE_READ_S = 0.25
-"""Time between reads while a primary is recorded that this box may not use yet, in seconds.
+"""Time between reads while this box lacks a lease on a recorded primary, in seconds.
 
-After a change of primary, every box's first lease on the new one waits for this.
+After a failover, every box's first lease on the new primary waits for this.
 """
 
 AWAY_READ_S = 2.5
 """Time between reads by a box that the platform does not answer, in seconds.
 
-Others of its data centre go on asking at a reader's pace and tell it of what they read. With
-all 60 boxes of a deployment asking at that pace, an outage of 9 s took 843 calls.
+The readers of its data centre retry more often and distribute what they read, which limits
+the load on a platform that recovers.
 """
 
 
 @attrs.frozen
 class ReadIntervals:
-    """How often the platform is read, so that a configuration is in force in time.
+    """Intervals at which the platform is read, so that a configuration is in force in time.
 
     Attributes
     ----------
@@ -65,7 +65,7 @@
 
     @classmethod
     def within(cls, bounds: PlatformBounds) -> ReadIntervals:
-        """Return the pace that keeps the platform's bounds."""
+        """Return the intervals that keep the platform's bounds."""
         in_force_s = bounds.configuration_in_force_s
         reader_s = min(READER_READS_S, READER_READS_FRACTION * in_force_s)
         return cls(reader_s, READ_KNOWN_FRACTION * in_force_s)
@@ -73,26 +73,26 @@
 
 @attrs.frozen
 class ReadScheduleInputs:
-    """What a box knows when it decides whether to read.
+    """Inputs of the decision whether to read.
 
     Attributes
     ----------
     since_s : float
-        Time since it last tried, in seconds.
+        Time since the last attempt, in seconds.
     misses_lease : bool
-        Whether a primary is recorded that it may not use.
+        Whether there is a recorded primary without a valid lease.
     by_data_centre : bool
-        Whether one box in each data centre reads for those beside it, instead of one for all.
+        Whether one box in each data centre reads for the others there, instead of one for all.
     reads_for_others : bool
-        Whether this box is the one that does.
+        Whether this box reads for others.
     renewed : bool
-        Whether others' answers renewed its leases lately.
+        Whether the replies of other boxes renewed its leases recently.
     known_age_s : float
-        Age of the newest read of any box that it knows of, in seconds.
+        Age of the newest known read of any box, in seconds.
     platform_answers : bool
-        Whether its last read was answered.
+        Whether the platform answered the last read.
     is_asked : bool
-        Whether other boxes may ask it for its reads.
+        Whether other boxes may request its reads.
     """
 
     since_s: float
--- a/wharftiller/core/leadership/record.py
+++ b/wharftiller/core/leadership/record.py
@@ -1,6 +1,6 @@
-"""The one record of who leads each group, kept in the platform.
+"""The record of which endpoint leads each group, stored in the platform.
 
-Every change of it is a conditional update, so its revision orders all changes.
+Every change is a conditional update, so the record's revision orders all changes.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
     from collections.abc import Collection
 
 MAX_LOST_UPDATES = 10_000
-"""More updates, and fences, than are ever written in the seconds that a copy is old."""
+"""Upper bound on the updates, and fences, written in the seconds that a copy lacks."""
 
 
 @attrs.frozen
@@ -24,10 +24,10 @@
     ----------
     endpoint : str
     term : int
-        The primary's term as it told it; 0 if never read.
+        The term reported by the primary; 0 if never read.
     is_unverified : bool
-        Whether this came back with a copy of the platform, and nothing has shown since that no
-        other endpoint was promoted in the seconds that were lost.
+        Whether this was restored from a copy of the platform, and another endpoint may have been
+        promoted in the lost seconds.
     """
 
     endpoint: str
@@ -42,14 +42,14 @@
     Attributes
     ----------
     old : Leading
-        The primary that must not be used any more.
+        The primary that is being replaced.
     successor : str
         The endpoint that takes over.
     planned : bool
-        Whether the old primary is alive and statements under way may end first.
+        Whether the old primary is alive and statements in flight may end first.
     ordered : bool
-        Whether the promotion may have been ordered; until then the change can be
-        called off by any box that holds it.
+        Whether the promotion may have been ordered; until then the holder can cancel
+        the failover.
     """
 
     old: Leading
@@ -59,9 +59,9 @@
 
     @property
     def is_cancellable(self) -> bool:
-        """Whether the old primary leads on if it answers again.
+        """Whether the failover is cancelled if the old primary answers again.
 
-        A doubted one does not: that it answers tells nothing of whether it was replaced.
+        Not if that primary is unverified: it may answer although it has been replaced.
         """
         return not (self.planned or self.ordered or self.old.is_unverified)
 
@@ -76,22 +76,22 @@
     Attributes
     ----------
     revision : int
-        The platform's revision of it; a higher one is newer.
+        The platform's revision of the record.
     fence : int
-        Number under which promotions are ordered; rises with every holder.
+        Fencing number of promotions; rises with every holder.
     holder : str
         Incarnation of the box that may order promotions under ``fence``.
     attempt : str
         Id of the update that made this revision.
     updates : int
-        Rises with each update; decides which of two records is newer. Where the platform came
-        back from a copy, a record of a higher revision may hold fewer.
+        Rises with each update; decides which of two records is newer. After the platform was
+        restored from a copy, a record of a higher revision may hold fewer updates.
     is_written_back : bool
-        Whether its last update only wrote it back after the platform had come back.
+        Whether its last update only wrote it back after a restoration.
     is_confirmed : bool
-        Whether it was written since the platform came back last.
+        Whether it was written after the platform's last restoration.
     era : int
-        Rises each time the platform comes back from a copy; the one in which this was read.
+        Epoch of the platform's store in which this was read; rises with each restoration.
     """
 
     revision: int = 0
@@ -105,26 +105,26 @@
     era: int = attrs.field(default=0, eq=False)
 
     def is_newer_than(self, other: LeadershipRecord) -> bool:
-        """Return whether it followed ``other``."""
+        """Return whether it was written after ``other``."""
         return (self.updates, self.revision) > (other.updates, other.revision)
 
     def is_rolled_back_from(self, other: LeadershipRecord) -> bool:
-        """Return whether the platform came back with this after it had held ``other``."""
+        """Return whether this was restored after the platform had held ``other``."""
         return self.revision > other.revision and self.updates < other.updates
 
     def written_back_over(self, revision: int, leased_groups: Collection[str]) -> LeadershipRecord:
-        """Return what is written over the record of ``revision`` that came back from a copy.
+        """Return the record to write over the restored one of ``revision``.
 
-        It outranks every update that was lost with the seconds that the copy is old, so that a
-        box which still knows one of them does not bring it back later, and no fence of those
-        seconds is given out again. Revisions rise from one restoration to the next, so it also
-        outranks what was written after an earlier one. A change of primary that came back may
-        have ended since: its old primary is doubted, and replaced anew if it has to be.
+        Its updates and fence exceed all that were lost, so that a box which still has a lost
+        update cannot bring it back, and no lost fence is used again. Revisions rise from one
+        restoration to the next, so they also exceed those written after an earlier restoration.
+        A restored failover may have ended since: its old primary becomes unverified, and is
+        replaced again if necessary.
 
         Parameters
         ----------
         leased_groups : collection of str
-            The groups that are surely still led by whom this record names.
+            The groups on whose recorded primary there is a valid lease.
         """
         groups: dict[str, GroupLeadership] = {
             name: _as_leading(state, is_unverified=name not in leased_groups)
@@ -142,7 +142,7 @@
 
     @property
     def unverified(self) -> dict[str, Leading]:
-        """The groups whose recorded primary may have been replaced in lost seconds."""
+        """The groups whose recorded primary may have been replaced in lost seconds, with it."""
         return {
             name: state
             for name, state in self.groups.items()
@@ -151,13 +151,13 @@
 
     @property
     def moving(self) -> dict[str, FailingOver]:
-        """The groups whose primary is being replaced."""
+        """The groups whose primary is being replaced, with the failover."""
         return {
             name: state for name, state in self.groups.items() if isinstance(state, FailingOver)
         }
 
     def lead(self, group: str) -> str | None:
-        """Return ``group``'s primary, the old one while it is being replaced; None if not known."""
+        """Return ``group``'s primary, the old one during a failover; None if not known."""
         match self.groups.get(group):
             case Leading(endpoint) | FailingOver(Leading(endpoint)):
                 return endpoint
@@ -170,6 +170,6 @@
 
 
 def _as_leading(state: GroupLeadership, *, is_unverified: bool) -> Leading:
-    """Return the primary that ``state`` names, doubted or not."""
+    """Return the primary of ``state``, the old one of a failover."""
     leading = state if isinstance(state, Leading) else state.old
     return attrs.evolve(leading, is_unverified=is_unverified)
--- a/wharftiller/daemons/sessions/leadership/__init__.py
+++ b/wharftiller/daemons/sessions/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of primary."""
+"""Failovers of groups."""
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -1,4 +1,4 @@
-"""Decide on changes of primary: start those that are needed, take over those left undone."""
+"""Start the failovers that are needed, and take over those abandoned by their holder."""
 
 from __future__ import annotations
 
@@ -33,40 +33,40 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 POLL_S = 0.15
-"""Time between looks at whether a primary must be replaced, in seconds."""
+"""Time between checks whether a primary must be replaced, in seconds."""
 
 TAKE_OVER_POLL_S = 1.0
-"""Time between questions whether the holder of a change lives, in seconds."""
+"""Time between checks whether the holder of a failover is running, in seconds."""
 
 FIRST_RANK_DELAY_S = 0.3
-"""Time by which each further box leaves the first record to those before it, in seconds."""
+"""Delay per rank before a box writes the first record or takes a failover over, in seconds."""
 
 FIRST_ALL_S = 2.0
-"""Time after its start for which a box wants every group in the first record, in seconds."""
+"""Time after its start for which a box waits to record every group at once, in seconds."""
 
 REACHABLE_ELSEWHERE_S = 1.0
-"""Time for which a primary that another box hears is left alone, in seconds.
+"""Time for which a primary that another box can reach is not checked again, in seconds.
 
-Beside a cut every home on the other side would ask all homes again every 0.15 s.
+In a network partition every gateway on the other side would query all gateways at each check.
 """
 
 MAX_RANKS = 8
-"""Boxes that start a change one after the other; all further ones start together."""
+"""Number of boxes that act one after the other; all further ones act together."""
 
 FAILED_PAUSE_S = 1.0
-"""Pause after a change that could not be carried on, in seconds."""
+"""Pause after a check that the platform did not answer, in seconds."""
 
 
 @attrs.define
 class _RevisionSeen:
-    """Since when this box has seen a change at one revision of the record."""
+    """When this box first saw a revision of the record."""
 
     revision: int
     at: float
 
 
 class FailoverMonitor:
-    """Watches the primaries and replaces those that are lost or leaving."""
+    """Monitors the primaries and replaces those that are lost or leaving."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         self._started_at = trio.current_time()
 
     async def run(self) -> None:
-        """Look for work for ever."""
+        """Check for ever."""
         while True:
             await trio.sleep(POLL_S)
             if not self._state.leases.read_from_platform:
@@ -128,13 +128,13 @@
         )
 
     def _is_settled(self) -> bool:
-        """Return whether the platform's list and record may be built on."""
+        """Return whether the platform's list and record are reliable."""
         return self._state.leases.is_settled(trio.current_time())
 
     # The first record ---------------------------------------------------
 
     async def _first_record(self) -> None:
-        """Record the primaries that the endpoints themselves registered as."""
+        """Record the endpoints that registered as primaries."""
         record = self._state.leases.record
         groups = {
             group: Leading(leaders[0])
@@ -155,17 +155,17 @@
     def _registered_leaders(self, group: str) -> list[str]:
         return [row.name for row in self._state.endpoints.of_group(group) if row.entry.leads]
 
-    # Starting a change --------------------------------------------------
+    # Starting a failover ------------------------------------------------
 
     async def _start_failovers(self, record: LeadershipRecord) -> None:
-        """Start replacing every primary that must be.
+        """Start the failover of every primary that must be replaced.
 
-        The update is conditional on ``record``'s revision: whatever another box
-        writes while this one asks around makes it fail.
+        The update is conditional on ``record``'s revision, so it fails if another box
+        writes meanwhile.
         """
         if not self._state.endpoints.rows:
-            # Knowing no endpoints yet, a box cannot tell a lost primary from an unknown one, and
-            # of many that start together each would ask all others whether they hear it.
+            # Without the list of endpoints a lost primary cannot be told from an unknown one, and
+            # many boxes that start together would each query all others.
             return
         changed = self._writer.as_holder(record)
         for group, leading in record.groups.items():
@@ -177,7 +177,7 @@
             await self._writer.write(changed)
 
     async def _needed_failover(self, group: str, leading: Leading) -> FailingOver | None:
-        """Return the change that ``group`` needs, if it is this box's turn to start one."""
+        """Return the failover that ``group`` needs, if this box may start one by its rank."""
         if leading.is_unverified:
             successor = await self._unverified.successor(group, leading, self._rank(group))
             return None if successor is None else FailingOver(leading, successor, planned=False)
@@ -206,23 +206,23 @@
         return FailingOver(leading, best.name, planned)
 
     async def _successor_of_lost(self, group: str, old: str, rank: int) -> Candidate | None:
-        """Return who takes over from a primary that no box hears; None if one does.
+        """Return the successor of a primary that no box can reach; None if one can reach it.
 
-        Of the other boxes only the group's homes may hear it. They and the replicas are asked
-        at once: each may take half a second.
+        Of the other boxes only the group's gateways connect to it. They and the replicas are
+        queried concurrently, as each query may take half a second.
         """
         is_reachable = False
-        asked = self._gateways.others_of([group])
+        queried = self._gateways.others_of([group])
 
         async def ask_boxes() -> None:
             nonlocal is_reachable
-            is_reachable = await self._is_reachable_elsewhere(group, old, asked)
+            is_reachable = await self._is_reachable_elsewhere(group, old, queried)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask_boxes)
             candidates = await self._successors.candidates(group, old)
         row = self._state.endpoints.rows.get(old)
-        names = self._directory.boxes if asked is None else [box.name for box in asked]
+        names = self._directory.boxes if queried is None else [box.name for box in queried]
         all_answer = self._directory.replies.keys() >= set(names)
         if is_reachable or not is_lost(row, rank, trio.current_time(), all_answer=all_answer):
             return None
@@ -235,7 +235,7 @@
         return now - self._reachable_elsewhere_at.get(group, -math.inf) < REACHABLE_ELSEWHERE_S
 
     def _rank(self, key: str) -> int:
-        """Return how many boxes go before this one; those far back go together."""
+        """Return how many boxes act before this one, at most `MAX_RANKS`."""
         boxes = (
             self._gateways.all_gateways(key) if key in self._state.leases.record.groups else None
         )
@@ -244,9 +244,9 @@
         return min(MAX_RANKS, takeover_rank(self._state.box, boxes, key))
 
     async def _is_reachable_elsewhere(
-        self, group: str, endpoint: str, asked: list[Box] | None
+        self, group: str, endpoint: str, queried: list[Box] | None
     ) -> bool:
-        await self._directory.round(check=(endpoint,), among=asked)
+        await self._directory.round(check=(endpoint,), among=queried)
         reaching = [n for n, reply in self._directory.replies.items() if endpoint in reply.hears]
         if reaching:
             self._reachable_elsewhere_at[group] = trio.current_time()
@@ -256,13 +256,13 @@
     # Taking over --------------------------------------------------------
 
     async def _may_take_over(self, record: LeadershipRecord) -> bool:
-        """Return whether the holder of a change can surely order nothing any more."""
+        """Return whether the holder of a failover can no longer order a promotion."""
         now = trio.current_time()
         if self._seen is None or self._seen.revision != record.revision:
             self._seen = _RevisionSeen(record.revision, now)
         if not any(map(self._state.serves_group, record.moving)):
-            # Were all boxes to ask about a change that waits for a silent box's lease, their
-            # questions would grow with the square of the boxes.
+            # If all boxes queried the holder of a failover that waits for a lease, the number of
+            # requests would grow with the square of the number of boxes.
             return False
         seen_s = now - self._seen.at - self._take_over_rank(record) * FIRST_RANK_DELAY_S
         if seen_s > FIRST_RANK_DELAY_S:
@@ -275,19 +275,19 @@
         return seen_s > (TAKE_OVER_SILENT_S if silent else TAKE_OVER_S)
 
     def _take_over_rank(self, record: LeadershipRecord) -> int:
-        """Return how many boxes that run statements of the groups concerned go first."""
+        """Return how many boxes that run statements of these groups act before this one."""
         others = self._gateways.others_of(record.moving)
         names = self._directory.live() if others is None else [box.name for box in others]
         return min(MAX_RANKS, takeover_rank(self._state.box, names, str(record.fence)))
 
     async def _ask_holder(self, name: str) -> None:
-        """Ask the box that holds a change whether it lives, and with which process."""
+        """Query the box that holds a failover, to learn whether it runs and in which process."""
         box = self._directory.boxes.get(name)
         among = [] if box is None else [box]
         await self._directory.round(no_older_than_s=TAKE_OVER_POLL_S, among=among)
 
     def _holder_restarted(self, holder: str) -> bool:
-        """Return whether the holder's box runs another process by now."""
+        """Return whether the holder's box now runs another process."""
         name = _box_name(holder)
         if name == self._state.box:
             return True
@@ -296,10 +296,10 @@
 
 
 def _needs_verification_only(record: LeadershipRecord) -> bool:
-    """Return whether all that ``record`` leaves to be done is about doubted primaries.
+    """Return whether only unverified primaries are left to handle in ``record``.
 
-    That need not wait until the list of boxes may be built on: what the endpoints tell
-    replaces nobody whom a box may use.
+    This need not wait until the list of boxes is reliable: verification by the endpoints'
+    statuses replaces no primary that a box may use.
     """
     if record.moving:
         return all(failover.old.is_unverified for failover in record.moving.values())
@@ -307,5 +307,5 @@
 
 
 def _box_name(holder: str) -> str:
-    """Return the name of the box whose process ``holder`` is."""
+    """Return the name of the box that runs the process ``holder``."""
     return holder.rpartition("/")[0]
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -1,4 +1,4 @@
-"""Carry a change of primary on: have every box stop, promote, record it, tell the others."""
+"""Run failovers: revoke leases, promote the successor, record it, send the record to others."""
 
 from __future__ import annotations
 
@@ -26,33 +26,33 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 RETRY_S = 0.2
-"""Time before a promotion or an update that failed is asked for again, in seconds."""
+"""Time before a failed promotion or update is retried, in seconds."""
 
 LAST_PROBE_TIMEOUT_S = 0.3
-"""Time that a lost primary has for its last word before anything is ordered, in seconds.
+"""Timeout of the last probe of a lost primary before a promotion is ordered, in seconds.
 
-One lost packet is sent again after 0.2 s; every change of a dark primary pays it.
+Longer than the retransmission of one lost packet (0.2 s); delays every unplanned failover.
 """
 
 CANDIDATES_FRESH_S = 1.0
-"""Age up to which what replicas told of themselves still stands, in seconds.
+"""Maximum age of the replicas' reported log positions, in seconds.
 
-It was told after the primary had been silent for 1.2 s: what it had sent has arrived by then,
-whether replicas have applied it or not.
+They are queried after the primary has been unresponsive for `UNREACHABLE_S`, when everything
+that it had sent has arrived, applied or not.
 """
 
 LAST_PROBE_FRESH_S = 1.0
-"""Age beyond which a lost primary is asked once more before anything is ordered, in seconds.
+"""Age of the last probe beyond which a lost primary is probed again, in seconds.
 
-Where every box gives its word at once, the question asked meanwhile is enough.
+Where every box releases its lease at once, the probe made meanwhile is enough.
 """
 
 MAX_RECORD_ATTEMPTS = 5
-"""Times a finished change is offered to the platform before the next look does it again."""
+"""Attempts to record a finished failover before it is left to the next check."""
 
 
 class FailoverRunner:
-    """Carries on the changes of primary that this box holds."""
+    """Runs the failovers that this box holds."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._prober = prober
 
     async def advance(self, record: LeadershipRecord) -> None:
-        """Take the changes in ``record``, which this box holds, as far as they go now."""
+        """Advance the failovers in ``record``, which this box holds, as far as possible now."""
         if not all(failover.ordered for failover in record.moving.values()):
             if not await self._revoke_and_mark_ordered(record):
                 return
@@ -89,7 +89,7 @@
             await self._replace_successors(record, not_running)
 
     async def _replace_successors(self, record: LeadershipRecord, groups: list[str]) -> None:
-        """Record who takes ``groups`` over instead of successors that are not running."""
+        """Record other successors for ``groups``, whose successors are not running."""
         for group in groups:
             best = await self._successors.best(group, record.moving[group])
             failover = attrs.evolve(record.moving[group], successor=best)
@@ -97,7 +97,7 @@
         await self._writer.write(record)
 
     async def _revoke_and_mark_ordered(self, record: LeadershipRecord) -> bool:
-        """Have every box stop, then mark the changes as ordered; return whether they are."""
+        """Revoke all leases, then mark the failovers as ordered; return whether they are."""
         _, won_at = self._writer.won(record)
         answering: set[str] = set()
         asked_at = trio.current_time()
@@ -118,7 +118,7 @@
         return ready is not None and await self._writer.write(ready)
 
     async def _cancel_answering(self, record: LeadershipRecord, answering: set[str]) -> bool:
-        """Let the primaries of the groups ``answering`` go on leading, if there are any."""
+        """Cancel the failovers of the groups ``answering``; return whether there are any."""
         if not answering:
             return False
         for group in sorted(answering):
@@ -128,15 +128,15 @@
         return True
 
     async def _send_record(self, groups: Iterable[str]) -> None:
-        """Tell the boxes that run statements of ``groups`` of the record as it stands now.
+        """Send the current record to the boxes that run statements of ``groups``.
 
-        The others pass them on, and hear of it from their readers within a second.
+        The others forward their statements, and get it from their readers within a second.
         """
         gateways = self._gateways.others_of(groups)
         await self._directory.send_record(self._state.leases.record, gateways)
 
     async def _probe_lost_primaries(self, record: LeadershipRecord) -> list[str]:
-        """Ask every lost primary once more; return the groups whose answers."""
+        """Probe every lost primary once more; return the groups whose primary answers."""
         answering: list[str] = []
 
         async def ask(group: str, row: EndpointRow) -> None:
@@ -153,10 +153,10 @@
         return answering
 
     async def _with_ordered_successors(self, record: LeadershipRecord) -> LeadershipRecord | None:
-        """Return the record with each change's best successor, marked as ordered.
+        """Return the record with each failover's final successor, marked as ordered.
 
-        None while a group's successor cannot be told that loses no acknowledged write,
-        where its writes are on replicas before they are acknowledged.
+        None while a group that replicates writes before they are acknowledged has no successor
+        known to hold all of them.
         """
         for group, failover in record.moving.items():
             best = await self._final_successor(group, failover)
@@ -168,7 +168,7 @@
 
     async def _final_successor(self, group: str, failover: FailingOver) -> str | None:
         if failover.old.is_unverified:
-            # Every endpoint was asked when it was chosen, the old primary among them.
+            # Every endpoint was queried when it was chosen, including the old primary.
             return failover.successor
         caught_up = failover.planned and await self._successors.wait_caught_up(failover)
         if caught_up:
@@ -184,8 +184,8 @@
         Returns
         -------
         list of str
-            The groups whose successor is not running; none if others' were recorded, as
-            the next look then orders the rest again.
+            The groups whose successor is not running; none if others were recorded, as
+            the next check then orders the rest again.
         """
         promoted: dict[str, Leading] = {}
         not_running: list[str] = []
@@ -226,7 +226,7 @@
     async def _record_promoted(
         self, record: LeadershipRecord, promoted: dict[str, Leading]
     ) -> None:
-        """Record the new primaries, tell those who use them, and demote the old ones."""
+        """Record the new primaries, send the record to their users, and demote the old ones."""
         failovers = record.moving
         for group, leading in promoted.items():
             record = record.with_group(group, leading)
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -1,4 +1,4 @@
-"""Have every box stop using the primaries being replaced, or wait until its leases end."""
+"""Revoke every box's leases on the primaries being replaced, or wait until they expire."""
 
 from __future__ import annotations
 
@@ -20,36 +20,42 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 RELEASE_RETRY_S = 0.2
-"""Time between questions to boxes that did not answer as hoped, in seconds."""
+"""Time between release requests to boxes that have not released their leases, in seconds."""
 
 RELEASE_BEFORE_END_S = 0.4
-"""How long before silent boxes' leases end the others are asked to stop, in seconds.
+"""Time before the expiry of unresponsive boxes' leases to request releases, in seconds.
 
-Time for a few statements to end; an open transaction may take `QUIET_WAIT_S`.
+Enough for a few statements to end; an open transaction may take `QUIET_WAIT_S`.
 """
 
 
 class LeaseRevoker:
-    """Has this box and every other one stop."""
+    """Has this box and every other one release the leases on old primaries."""
 
     def __init__(
         self,
         state: SharedState,
         directory: BoxDirectory,
-        marks: Tombstones,
+        tombstones: Tombstones,
         server: BoxServer,
         store: SharedObjects,
         snapshots: SnapshotApplier,
     ) -> None:
         self._state = state
         self._directory = directory
-        self._tombstones = marks
+        self._tombstones = tombstones
         self._server = server
         self._store = store
         self._snapshots = snapshots
 
     async def all_released(self, record: LeadershipRecord, won_at: float) -> list[str]:
-        """Return once no box uses an old primary; the groups whose lost one answers again."""
+        """Wait until no box uses an old primary.
+
+        Returns
+        -------
+        list of str
+            The groups whose lost primary answers again; returned at once if there are any.
+        """
         listed = await self._reload_boxes()
         dead = self._tombstones.confirmed_dead() if listed else []
         if dead:
@@ -58,7 +64,7 @@
         if all(failover.planned for failover in record.moving.values()):
             await self._wait_beside_silent_boxes(won_at, silent)
         async with trio.open_nursery() as nursery:
-            # Each box first lets its writes end, for a second at most: all at once.
+            # All boxes at once: each first lets its writes end, for up to a second.
             nursery.start_soon(self._server.stop_using, record)
             has_old_member = await self._request_releases(silent, record)
         while True:
@@ -72,17 +78,17 @@
             await trio.sleep(RELEASE_RETRY_S)
             has_old_member |= await self._request_releases(silent, record)
 
-    async def _wait_beside_silent_boxes(self, won_at: float, asked: dict[str, Box]) -> None:
-        """Let the other boxes go on for most of the wait for boxes that cannot be asked."""
+    async def _wait_beside_silent_boxes(self, won_at: float, others: dict[str, Box]) -> None:
+        """Delay the release by the others for most of the wait for unresponsive boxes."""
         await self._directory.round()
-        if asked.keys() - self._directory.replies.keys():
+        if others.keys() - self._directory.replies.keys():
             await trio.sleep_until(won_at + LEASE_S - RELEASE_BEFORE_END_S)
 
     async def _reload_boxes(self) -> bool:
         """Read the list of boxes after the record was won; return whether it was read.
 
-        A box joins the list before its first lease, so this list holds every box
-        that may hold a lease from before the win.
+        A box is listed before its first lease, so this list holds every box that may
+        hold a lease from before the win.
         """
         asked_at = trio.current_time()
         try:
@@ -93,7 +99,7 @@
         return self._snapshots.take(snapshot, asked_at)
 
     def _answering_lost_primaries(self, record: LeadershipRecord, won_at: float) -> list[str]:
-        """Return the groups whose lost primary answers again and may still go on leading."""
+        """Return the groups whose lost primary answers again and may go on leading."""
         answering = []
         for group, failover in record.moving.items():
             row = self._state.endpoints.rows.get(failover.old.endpoint)
@@ -105,10 +111,10 @@
         return answering
 
     async def _request_releases(self, silent: dict[str, Box], record: LeadershipRecord) -> bool:
-        """Ask the silent boxes for their word; return whether an old member gave one.
+        """Request releases from these boxes; return whether an old member released its lease.
 
-        A silent box's rounds ask every box that was listed `LISTING_S` before, so an
-        old member that knows of the change keeps it from renewing its lease.
+        An unresponsive box's renewals need a reply from every box that was listed `LISTING_S`
+        before, so an old member that has the new record keeps it from renewing its lease.
         """
         listed_times: list[float] = []
 
@@ -128,5 +134,5 @@
         return any(listed_s > LISTING_S + LEASE_S for listed_s in listed_times)
 
     def _is_old_member(self, now: float) -> bool:
-        """Return whether every other box's list must hold this box by now."""
+        """Return whether this box is certainly in every other box's list."""
         return self._directory.listed_s(now) > LISTING_S + LEASE_S
--- a/wharftiller/daemons/sessions/leadership/record_writer.py
+++ b/wharftiller/daemons/sessions/leadership/record_writer.py
@@ -1,4 +1,4 @@
-"""Write the record of leadership and remember which updates were this box's own."""
+"""Write the record of leadership and track which updates are this process's own."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self.incarnation = incarnation
 
     async def write(self, record: LeadershipRecord) -> bool:
-        """Replace the record; return whether this box's own update stands there."""
+        """Replace the record; return whether the current record is this process's own update."""
         attempt, asked_at = self._next_attempt()
         update = attrs.evolve(
             record, attempt=attempt, updates=record.updates + 1, is_written_back=False
@@ -43,7 +43,7 @@
         return await self._replace(update, asked_at)
 
     def _next_attempt(self) -> tuple[str, float]:
-        """Return the id of a new update, and now, in seconds."""
+        """Return the id of a new update, and the time of its request, in seconds."""
         attempt = f"{self.incarnation}.{next(self._attempt_numbers)}"
         asked_at = self._attempt_times[attempt] = trio.current_time()
         return attempt, asked_at
@@ -64,7 +64,7 @@
         return won
 
     async def write_back(self) -> bool:
-        """Write the record anew where the platform came back with an older one; False if not."""
+        """Write the record over one restored from a copy; return False if there is no need."""
         record = self._state.leases.record_to_write_back(trio.current_time())
         if record is None:
             return False
@@ -82,15 +82,15 @@
         return attrs.evolve(record, fence=record.fence + 1, holder=self.incarnation)
 
     def won(self, record: LeadershipRecord) -> tuple[float, float]:
-        """Return when the record was asked for and when this box learned that it won it."""
+        """Return when the record was requested and when this process learned that it won it."""
         times = self._won_at.get(record.fence)
         if times is None:
-            # An update of this process whose answer was lost turned up in a read.
+            # The reply to the update was lost; the record was read later.
             now = trio.current_time()
             times = (self._attempt_times.get(record.attempt, now - SEND_WINDOW_S), now)
             self._won_at[record.fence] = times
         return times
 
     def asked_at(self, record: LeadershipRecord) -> float:
-        """Return when this process asked for the update that made ``record``, in seconds."""
+        """Return when this process requested the update that made ``record``, in seconds."""
         return self._attempt_times.get(record.attempt, -math.inf)
--- a/wharftiller/daemons/sessions/leadership/successors.py
+++ b/wharftiller/daemons/sessions/leadership/successors.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint that takes a group over, and see it catch up and lead."""
+"""Choose a group's new primary, and wait until it has caught up and leads."""
 
 from __future__ import annotations
 
@@ -18,23 +18,20 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 CATCH_UP_TIMEOUT_S = 1.5
-"""Time a successor may take to receive a living primary's last writes, in seconds."""
+"""Time for a successor to receive the last writes of a responsive primary, in seconds."""
 
 LEADS_TIMEOUT_S = 3.0
-"""Time within which a promoted endpoint should say that it leads, in seconds."""
+"""Time within which a promoted endpoint must report that it leads, in seconds."""
 
 LEADS_POLL_S = 0.06
-"""Time between looks at whether it does, in seconds."""
+"""Time between status queries to a successor, in seconds."""
 
 PROMOTION_EFFECT_S = 1.5
-"""Time within which a promotion that was answered takes effect, in seconds.
-
-The slowest endpoints known take a second.
-"""
+"""Time within which an acknowledged promotion takes effect, in seconds."""
 
 
 class SuccessorFinder:
-    """Asks endpoints for what they have received and whether they lead."""
+    """Queries endpoints for their log positions and whether they lead."""
 
     def __init__(self, state: SharedState, prober: Prober) -> None:
         self._state = state
@@ -44,7 +41,7 @@
     async def candidates(
         self, group: str, old: str, no_older_than_s: float = 0.0
     ) -> list[Candidate]:
-        """Return what the group's replicas have received, asked for lately or now."""
+        """Return the group's replicas with their log positions, at most ``no_older_than_s`` old."""
         asked_at, cached = self._cached_candidates.get(group, (-math.inf, []))
         if trio.current_time() - asked_at < no_older_than_s:
             return cached
@@ -65,12 +62,12 @@
         ]
 
     async def statuses(self, group: str) -> dict[str, EndpointStatus]:
-        """Return what the registered endpoints of ``group`` tell of themselves, asked now."""
+        """Query the registered endpoints of ``group``; return the status of those that answer."""
         replies = await self._query_all(self._state.endpoints.of_group(group))
         return {row.name: status for row, status in replies}
 
     async def _query_all(self, rows: list[EndpointRow]) -> list[tuple[EndpointRow, EndpointStatus]]:
-        """Ask these endpoints at once; return what those say that answer."""
+        """Query these endpoints concurrently; return the status of those that answer."""
         replies: list[tuple[EndpointRow, EndpointStatus]] = []
 
         async def ask(row: EndpointRow) -> None:
@@ -84,7 +81,7 @@
         return replies
 
     async def status(self, row: EndpointRow) -> EndpointStatus | None:
-        """Return what an endpoint says of itself, or None if it does not answer."""
+        """Return an endpoint's status, or None if it does not answer."""
         try:
             return await self._prober.status(row)
         except (ExchangeError, EndpointRefusedError) as error:
@@ -92,15 +89,15 @@
             return None
 
     def has_sync_replicas(self, group: str) -> bool:
-        """Return whether ``group``'s writes are on a replica before they are acknowledged."""
+        """Return whether ``group``'s writes are replicated before they are acknowledged."""
         limits = self._state.configuration.groups.get(group)
         return limits is not None and limits.sync_replicas > 0
 
     async def complete_replica(self, group: str, old: str) -> str | None:
-        """Return the replica that surely holds every acknowledged write; None if none surely does.
+        """Return the replica that holds every acknowledged write; None if that is not certain.
 
-        To be asked once every box has stopped using ``old``. An acknowledged write is on
-        some replica, which one is not known: all of them must answer.
+        Must be called once every box has stopped using ``old``. An acknowledged write is on
+        some unknown replica, so all of them must answer.
         """
         replicas = [row for row in self._state.endpoints.of_group(group) if row.name != old]
         found = await self._query_replicas(group, old)
@@ -112,12 +109,12 @@
         return best.name
 
     async def wait_caught_up(self, failover: FailingOver) -> bool:
-        """Wait until the successor has received all that the old primary holds.
+        """Wait until the successor has received everything that the old primary holds.
 
         Returns
         -------
         bool
-            Whether it has.
+            Whether it has within `CATCH_UP_TIMEOUT_S`.
         """
         old = self._state.endpoints.rows.get(failover.old.endpoint)
         new = self._state.endpoints.rows.get(failover.successor)
@@ -133,8 +130,8 @@
         return False
 
     async def best(self, group: str, failover: FailingOver, no_older_than_s: float = 0.0) -> str:
-        """Return the endpoint that has received most, the recorded one if it has."""
-        # A doubted primary is a candidate like the others.
+        """Return the endpoint with the highest log position; ties go to the recorded successor."""
+        # An unverified primary is a candidate like the others.
         old = "" if failover.old.is_unverified else failover.old.endpoint
         candidates = await self.candidates(group, old, no_older_than_s)
         best = best_candidate(candidates)
@@ -144,10 +141,10 @@
         return best.name
 
     async def leading(self, failover: FailingOver) -> Leading | None:
-        """Return the successor with its term once it says that it leads.
+        """Return the successor with its term once it reports that it leads; None if it does not.
 
-        Where the old primary was doubted, the successor may have led before, in the term that
-        it tells until the promotion takes effect: it is asked after that.
+        Where the old primary was unverified, the successor may have led already and report its
+        former term until the promotion takes effect, so it is queried after that.
         """
         row = self._state.endpoints.rows.get(failover.successor)
         may_lead_on = failover.successor == failover.old.endpoint
--- a/wharftiller/daemons/sessions/leadership/verification.py
+++ b/wharftiller/daemons/sessions/leadership/verification.py
@@ -1,4 +1,4 @@
-"""Settle primaries that are doubted since the platform came back from a copy."""
+"""Verify or replace primaries that are unverified since the platform was restored from a copy."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 RETRY_S = 1.0
-"""Time between questions to the endpoints of a group whose primary is doubted, in seconds.
+"""Time between status queries to the endpoints of an unverified group, in seconds.
 
-Each takes a slot of every endpoint; one that comes back is seen soon enough.
+Each query takes a slot of every endpoint.
 """
 
 RANK_DELAY_S = 0.3
-"""Time by which each further box leaves a doubt to those before it, in seconds."""
+"""Delay per rank before a box verifies or replaces a primary, in seconds."""
 
 
 class UnverifiedPrimaries:
-    """Clears doubts by this box's leases, else finds out whom to promote."""
+    """Verifies primaries by this box's leases, else finds the endpoint to promote."""
 
     def __init__(
         self, state: SharedState, writer: RecordWriter, successors: SuccessorFinder
@@ -46,7 +46,7 @@
         self._asked_at: dict[str, float] = {}
 
     def note(self, record: LeadershipRecord) -> None:
-        """Note since when primaries are doubted; a further restoration begins anew."""
+        """Record since when primaries are unverified; a further restoration restarts the time."""
         if not record.unverified:
             self._since = math.inf
             self._asked_at.clear()
@@ -55,16 +55,16 @@
         self._era = record.era
 
     def verified(self, record: LeadershipRecord) -> set[str]:
-        """Return the doubted groups on whose primary this box holds a valid lease."""
+        """Return the unverified groups on whose primary this box holds a valid lease."""
         return record.unverified.keys() & self._state.leases.leased_groups(trio.current_time())
 
     async def clear(self, record: LeadershipRecord, verified: set[str], rank: int) -> bool:
-        """Record ``verified``, which this box vouches for, as led; return whether it did.
+        """Record the primaries of the groups ``verified`` as verified; return whether it did.
 
         Parameters
         ----------
-        turn : int
-            How many boxes go first.
+        rank : int
+            Number of boxes that act before this one.
         """
         if trio.current_time() - self._since < rank * RANK_DELAY_S:
             return False
@@ -75,7 +75,7 @@
         return await self._writer.write(record)
 
     async def successor(self, group: str, unverified: Leading, rank: int) -> str | None:
-        """Return whom to promote in ``group``, None while that cannot be told."""
+        """Return the endpoint to promote in ``group``; None while undecided."""
         now = trio.current_time()
         unverified_s = now - self._since - rank * RANK_DELAY_S
         asked_s = now - self._asked_at.get(group, -math.inf)
@@ -112,6 +112,6 @@
 
 
 def _described(name: str, status: EndpointStatus) -> str:
-    """Return what an endpoint told, in a few words for the log."""
+    """Return an endpoint's status in a few words for the log."""
     role = "leads" if status.leads else "follows in"
     return f"{name} {role} term {status.term}, log {status.received}"
--- a/wharftiller/tests/core/leadership/histories.py
+++ b/wharftiller/tests/core/leadership/histories.py
@@ -1,9 +1,9 @@
-"""Random histories of boxes, a platform and changes of primary, judged from outside.
+"""Random histories of boxes, a platform and failovers, checked for uses of an old primary.
 
-The leases are the real ones; the protocol around them is written here anew, step
-by step, so that a rule can be taken out. A history is decided by its seed. Boxes
-freeze, are cut from one another and from the platform, restart and join; answers
-of the platform are late or lost; changes of primary are aimed at such moments.
+The leases are those of the product; the protocol around them is modelled here, so that
+single rules can be disabled. A history is determined by its seed. Boxes pause, are
+partitioned from one another and from the platform, restart and join; replies of the
+platform are delayed or lost; failovers start at such moments.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 GROUP = "seats"
 HISTORY_S = 60.0
 MAX_CALL_S = 0.8
-"""Longest time of an answered call, in seconds."""
+"""Maximum duration of an answered call, in seconds."""
 
 MAX_COPY_AGE_S = 5.0
-"""Greatest age of a copy that the platform comes back from, in seconds."""
+"""Maximum age of a copy from which the platform is restored, in seconds."""
 
 VERIFY_POLL_S = 0.5
-"""Time between a box's looks at primaries that are doubted, in seconds."""
+"""Time between a box's checks of unverified primaries, in seconds."""
 
 
 @attrs.define(eq=False)
@@ -65,10 +65,10 @@
 
     Parameters
     ----------
-    deaths : bool
-        Whether boxes also end for good and are marked as dead, rightly or wrongly.
-    restores : bool
-        Whether the platform also comes back from copies some seconds old.
+    has_deaths : bool
+        Whether boxes also end for good, and dead or live boxes are tombstoned.
+    has_restores : bool
+        Whether the platform is also restored from copies some seconds old.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self._cuts: dict[frozenset[str], float] = {}
 
     def run(self) -> None:
-        """Play it to its end."""
+        """Run the history to its end."""
         for _ in range(self._random.randint(2, 4)):
             self._start_box()
         self._at(self._random.uniform(0, 4), self._inject_fault)
@@ -129,7 +129,7 @@
             )
 
     def _when_awake(self, box: ModelBox, run: Callable[[], None]) -> None:
-        """Run now, or when the box thaws; never once it is dead."""
+        """Run now, or once the box's pause ends; never once it is dead."""
         if box.dead:
             return
         if box.frozen_until > self.now:
@@ -188,7 +188,7 @@
             return
         if box.listed_since is None:
             box.listed_since = asked_at
-        counted_at = asked_at if self._rules.asked_time_counts else self.now
+        counted_at = asked_at if self._rules.request_time_counts else self.now
         box.table.read(record, counted_at)
         box.table.listed([name for name in listed if name != box.name], counted_at)
         if self._reaches_platform(box):
@@ -215,9 +215,9 @@
         )
 
     def _end_renewal(self, box: ModelBox, answers: list[RenewalReply], asked_at: float) -> None:
-        box.table.renewal_ended(answers, asked_at if self._rules.asked_time_counts else self.now)
+        box.table.renewal_ended(answers, asked_at if self._rules.request_time_counts else self.now)
 
-    # Trouble ------------------------------------------------------------
+    # Faults -------------------------------------------------------------
 
     def _inject_fault(self) -> None:
         pick = self._random
@@ -230,7 +230,7 @@
             case 9:
                 box.dead = sum(not each.dead for each in self.boxes) > 2
             case 10:
-                # Any box may be marked, whether it is dead or only seems to be.
+                # Any box may be tombstoned, whether it is dead or only unresponsive.
                 name = pick.choice(list(self._platform.listed) or [""])
                 if self._reaches_platform(box) and name not in ("", box.name):
                     self._platform.tombstones[name] = next(self._numbers)
@@ -256,7 +256,7 @@
     # Copies of the platform ----------------------------------------------
 
     def _take_copy(self) -> None:
-        """Take a copy; the platform is away in some seconds and comes back from it."""
+        """Take a copy; some seconds later the platform fails and is restored from it."""
         platform = self._platform
         copy = platform.copy()
         away_s = self._random.uniform(0.2, 3.0)
@@ -274,7 +274,7 @@
             return
         box.table.adopt(self._platform.write(written))
 
-    # Doubted primaries ----------------------------------------------------
+    # Unverified primaries -------------------------------------------------
 
     def _verify(self, box: ModelBox) -> None:
         self._when_awake(box, lambda: self._verify_now(box))
@@ -310,7 +310,7 @@
         updates = record.updates + 1
         return self._platform.write(attrs.evolve(record, updates=updates, is_written_back=False))
 
-    # A change of primary ------------------------------------------------
+    # Failover -----------------------------------------------------------
 
     def _begin_failover(self, box: ModelBox) -> None:
         if (
@@ -335,15 +335,15 @@
         self._take_record(box, known, failover, self._random)
 
     def _take_record(
-        self, box: ModelBox, known: LeadershipRecord, failover: FailingOver, dice: random.Random
+        self, box: ModelBox, known: LeadershipRecord, failover: FailingOver, rng: random.Random
     ) -> None:
         held = attrs.evolve(known, fence=known.fence + 1, holder=box.name)
         won = self._replace_record(held.with_group(GROUP, failover))
         box.is_failing_over = True
-        # What was read before the win may still be on its way to other boxes.
+        # Replies read before the win may still be in flight to other boxes.
         listed = dict(self._platform.listed) if self._rules.list_read_after_win else None
         tombstones = dict(self._platform.tombstones)
-        delay = dice.uniform(0, MAX_CALL_S)
+        delay = rng.uniform(0, MAX_CALL_S)
         self._at(
             delay, lambda: self._when_awake(box, lambda: self._on_won(box, won, listed, tombstones))
         )
@@ -403,7 +403,7 @@
         return holds_no_lease(tombstoned_at, answered_at, listed_s, self.now)
 
     def _is_old_member(self, box: ModelBox) -> bool:
-        """Return whether every other box's list must hold ``box`` by now."""
+        """Return whether ``box`` is certainly in every other box's list."""
         since = box.listed_since
         return since is not None and self.now - since > LISTING_S + LEASE_S
 
@@ -430,7 +430,7 @@
 def run_histories(
     seeds: Iterable[int], rules: Rules, *, has_deaths: bool = False, has_restores: bool = False
 ) -> tuple[int, list[int]]:
-    """Return the promotions of these histories, and the seeds in which a use was wrong."""
+    """Return the promotions of these histories, and the seeds in which an old primary was used."""
     promotions = 0
     violations: list[int] = []
     for seed in seeds:
--- a/wharftiller/tests/core/leadership/model_endpoints.py
+++ b/wharftiller/tests/core/leadership/model_endpoints.py
@@ -1,6 +1,6 @@
-"""The endpoints of a history: who leads which term by its own word, and who answers.
+"""The endpoints of a history: the terms that they report to lead, and which of them answer.
 
-Their dice are their own, so that a history's other troubles come as they do without them.
+They use a random generator of their own, so that they do not change a history's other faults.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from wharftiller.core.sessions.statements import EndpointStatus
 
 MAX_DEMOTION_DELAY_S = 15.0
-"""Longest time for which a replaced primary goes on believing that it leads, in seconds."""
+"""Maximum time for which a replaced primary still reports that it leads, in seconds."""
 
 MAX_UNRESPONSIVE_S = 25.0
-"""Longest time for which an endpoint answers nobody, in seconds."""
+"""Maximum time for which an endpoint is unresponsive, in seconds."""
 
 UNRESPONSIVE_FRACTION = 0.4
-"""Part of the promotions after which the new primary falls silent within a second."""
+"""Fraction of promotions after which the new primary becomes unresponsive within a second."""
 
 UNLISTED_FRACTION = 0.3
-"""Part of the silent ones that are not registered meanwhile either."""
+"""Fraction of the unresponsive endpoints that are not registered meanwhile."""
 
 
 @attrs.define
@@ -37,7 +37,7 @@
     is_unlisted: bool = False
 
     def is_unresponsive(self, now: float) -> bool:
-        """Return whether it answers nobody."""
+        """Return whether it does not answer."""
         return self.unresponsive_from <= now < self.unresponsive_until
 
 
@@ -50,22 +50,22 @@
         self._primary = self._all["p0"]
 
     def promote(self, name: str, now: float) -> None:
-        """Have an endpoint lead the next term; nothing changes if it leads already."""
+        """Promote an endpoint to the next term; does nothing if it leads already."""
         if name == self._primary.name:
             return
-        dice = self._random
-        self._primary.leads_until = now + dice.uniform(0.0, MAX_DEMOTION_DELAY_S)
+        rng = self._random
+        self._primary.leads_until = now + rng.uniform(0.0, MAX_DEMOTION_DELAY_S)
         promoted = ModelEndpoint(name, self._primary.term + 1)
-        if dice.random() < UNRESPONSIVE_FRACTION:
-            promoted.unresponsive_from = now + dice.random()
-            promoted.unresponsive_until = promoted.unresponsive_from + dice.uniform(
+        if rng.random() < UNRESPONSIVE_FRACTION:
+            promoted.unresponsive_from = now + rng.random()
+            promoted.unresponsive_until = promoted.unresponsive_from + rng.uniform(
                 0.0, MAX_UNRESPONSIVE_S
             )
-            promoted.is_unlisted = dice.random() < UNLISTED_FRACTION
+            promoted.is_unlisted = rng.random() < UNLISTED_FRACTION
         self._all[name] = self._primary = promoted
 
     def statuses(self, now: float) -> dict[str, EndpointStatus]:
-        """Return what those tell of themselves that answer now."""
+        """Return the status of each endpoint that answers now."""
         return {
             name: self._status(each, now)
             for name, each in self._all.items()
@@ -73,7 +73,7 @@
         }
 
     def silent(self, now: float) -> frozenset[str]:
-        """Return those that are registered and do not answer now."""
+        """Return the registered endpoints that do not answer now."""
         return frozenset(
             each.name
             for each in self._all.values()
--- a/wharftiller/tests/core/leadership/model_platform.py
+++ b/wharftiller/tests/core/leadership/model_platform.py
@@ -1,4 +1,4 @@
-"""The platform of a history: the record, the list of boxes, and copies that it comes back from."""
+"""The platform of a history: the record, the list of boxes, and copies to restore."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     from wharftiller.tests.core.leadership.histories import ModelBox
 
 REVISIONS_PER_ERA = 10**6
-"""Revisions of one era; those of the next come after them, whatever the platform counts."""
+"""Revisions reserved for one era; those of the next era are higher."""
 
 
 @attrs.frozen
 class PlatformCopy:
-    """What the platform held at one moment."""
+    """A copy of the platform's objects."""
 
     revision: int
     record: LeadershipRecord
@@ -32,15 +32,15 @@
     Attributes
     ----------
     record : LeadershipRecord
-        As it was last written.
+        The record as last written.
     listed : dict of str to ModelBox
         The registered boxes.
-    marks : dict of str to int
-        Number of the mark on each box that is taken for dead.
+    tombstones : dict of str to int
+        Number of the tombstone of each box presumed dead.
     away_until : float
-        When it answers again, in seconds.
+        When the platform answers again, in seconds.
     written_at : float
-        When the record was last written in a change of primary, in seconds.
+        When the record was last written for a failover, in seconds.
     """
 
     record: LeadershipRecord
@@ -52,21 +52,21 @@
     written_at: float = 0.0
 
     def read_record(self) -> LeadershipRecord:
-        """Return the record with the era in which it is read."""
+        """Return the record with the current era."""
         return attrs.evolve(self.record, era=self.era)
 
     def write(self, record: LeadershipRecord) -> LeadershipRecord:
-        """Replace the record, under a new revision; return what stands there."""
+        """Replace the record under a new revision; return it as written."""
         self.revision += 1
         self.record = attrs.evolve(record, revision=self.revision, era=self.era, is_confirmed=True)
         return self.record
 
     def copy(self) -> PlatformCopy:
-        """Return what it holds now."""
+        """Return a copy of the current objects."""
         return PlatformCopy(self.revision, self.record, dict(self.listed), dict(self.tombstones))
 
     def restore(self, copy: PlatformCopy) -> None:
-        """Hold what it held when ``copy`` was taken; revisions are given out anew."""
+        """Restore ``copy`` in a new era; revisions after the copy are issued again."""
         self.era += 1
         self.revision = self._in_this_era(copy.revision)
         revision = self._in_this_era(copy.record.revision)
--- a/wharftiller/tests/core/leadership/test_lease.py
+++ b/wharftiller/tests/core/leadership/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases: when a primary may be used, and the rules without which two would be."""
+"""Leases: guards against two primaries in use, and checks that each rule is needed."""
 
 from __future__ import annotations
 
@@ -46,40 +46,40 @@
 
 
 class TestChecks:
-    def test_a_lease_runs_from_the_asking(self, table: LeaseTable) -> None:
+    def test_a_lease_runs_from_the_request(self, table: LeaseTable) -> None:
         assert table.may_acknowledge(GROUP, "one", LEASE_S - 0.01)
         assert not table.may_acknowledge(GROUP, "one", LEASE_S)
         assert not table.may_acknowledge(GROUP, "two", 1.0)
 
-    def test_a_round_of_every_box_renews(self, table: LeaseTable) -> None:
+    def test_replies_of_every_box_renew(self, table: LeaseTable) -> None:
         assert table.renewal_ended([answer("box-2"), answer("box-3")], 3.0)
         assert table.may_acknowledge(GROUP, "one", 3.0 + LEASE_S - 0.01)
 
-    def test_a_round_with_a_silent_box_does_not(self, table: LeaseTable) -> None:
+    def test_a_missing_reply_does_not_renew(self, table: LeaseTable) -> None:
         assert not table.renewal_ended([answer("box-2")], 3.0)
         assert not table.may_acknowledge(GROUP, "one", LEASE_S)
 
     def test_a_restarted_box_that_has_not_read_does_not_count(self, table: LeaseTable) -> None:
         assert not table.renewal_ended([answer("box-2"), answer("box-3", read=False)], 3.0)
 
-    def test_a_round_with_an_old_list_does_not_count(self, table: LeaseTable) -> None:
+    def test_a_renewal_with_an_old_list_does_not_count(self, table: LeaseTable) -> None:
         at = LISTING_S
         table.read(record(1, Leading("one")), at - 1)
         assert not table.renewal_ended([answer("box-2"), answer("box-3")], at)
 
-    def test_a_round_without_other_boxes_does_not_count(self) -> None:
+    def test_a_renewal_without_other_boxes_does_not_count(self) -> None:
         table = LeaseTable()
         table.listed([], 0.0)
         table.read(record(1, Leading("one")), 0.0)
         assert not table.renewal_ended([], 1.0)
 
 
-class TestChanges:
-    def test_an_unplanned_change_ends_the_lease_at_once(self, table: LeaseTable) -> None:
+class TestFailovers:
+    def test_an_unplanned_failover_ends_the_lease_at_once(self, table: LeaseTable) -> None:
         table.adopt(record(2, FailingOver(Leading("one"), "two", planned=False)))
         assert table.lease(GROUP, 0.1) is None
 
-    def test_a_planned_change_lets_writes_end_but_none_start(self, table: LeaseTable) -> None:
+    def test_a_planned_failover_lets_writes_end_but_none_start(self, table: LeaseTable) -> None:
         table.adopt(record(2, FailingOver(Leading("one"), "two", planned=True)))
         assert table.may_start(GROUP, 0.1) is not None
         table.close(GROUP, "one")
@@ -88,7 +88,7 @@
         table.release_lease(GROUP, "one")
         assert not table.may_acknowledge(GROUP, "one", 0.1)
 
-    def test_a_planned_change_is_no_check(self, table: LeaseTable) -> None:
+    def test_a_planned_failover_does_not_renew(self, table: LeaseTable) -> None:
         table.read(record(2, FailingOver(Leading("one"), "two", planned=True)), 3.0)
         assert table.may_start(GROUP, LEASE_S - 0.01) is not None
         assert table.may_start(GROUP, LEASE_S) is None
@@ -109,7 +109,7 @@
         table.read(record(1, Leading("one")), 0.5)
         assert table.lease(GROUP, 0.6) is None
 
-    def test_a_change_that_was_called_off_gives_the_primary_back(self, table: LeaseTable) -> None:
+    def test_a_cancelled_failover_restores_the_primary(self, table: LeaseTable) -> None:
         table.adopt(record(2, FailingOver(Leading("one"), "two", planned=False)))
         table.read(record(3, Leading("one")), 1.0)
         assert table.may_acknowledge(GROUP, "one", 1.1)
@@ -118,15 +118,15 @@
 class TestDeadBoxes:
     OLD_S = LISTING_S + LEASE_S + 1
 
-    def test_a_mark_that_has_stood_for_a_lease_is_enough(self) -> None:
+    def test_a_tombstone_that_has_stood_for_a_lease_is_enough(self) -> None:
         assert holds_no_lease(10.0, -math.inf, self.OLD_S, 10.1 + LEASE_S)
         assert not holds_no_lease(10.0, -math.inf, self.OLD_S, 10.0 + LEASE_S)
 
-    def test_one_whose_rounds_are_answered_may_hold_a_lease(self) -> None:
+    def test_a_box_whose_renewals_are_answered_may_hold_a_lease(self) -> None:
         assert not holds_no_lease(10.0, 12.0, self.OLD_S, 11.9 + LEASE_S)
 
-    def test_a_newcomer_cannot_tell(self) -> None:
-        """The other's list may lack it, so its rounds may do without this box's answer."""
+    def test_a_new_box_cannot_exclude_a_lease(self) -> None:
+        """The other's list may lack this box, so its renewals may not need this box's reply."""
         assert not holds_no_lease(10.0, -math.inf, self.OLD_S - 1, 100.0)
 
 
@@ -139,16 +139,16 @@
     @pytest.mark.parametrize(
         ("rules", "seeds", "lease_s"),
         [
-            (Rules(asked_time_counts=False), (12, 148), 6.0),
-            # Recorded with leases of 4 s.
+            (Rules(request_time_counts=False), (12, 148), 6.0),
+            # Needs leases of 4 s.
             (Rules(restarted_boxes_read_first=False), (180,), 4.0),
             (Rules(restarted_boxes_read_first=False), (10397,), 6.0),
             (Rules(list_read_after_win=False), (3, 4), 6.0),
         ],
         ids=[
-            "counted from the answer",
-            "restarted box counts",
-            "restarted box counts, longer lease",
+            "validity counted from the reply",
+            "replies of restarted boxes count",
+            "replies of restarted boxes count, longer lease",
             "list from before the win",
         ],
     )
@@ -174,11 +174,15 @@
         [
             (Rules(tombstones_must_age=False), 993),
             (Rules(answered_renewals_count=False), 274),
-            (Rules(asked_time_counts=False), 142),
+            (Rules(request_time_counts=False), 142),
+        ],
+        ids=[
+            "a new tombstone",
+            "a box whose renewals are answered",
+            "validity counted from the reply",
         ],
-        ids=["a mark just made", "a box whose rounds are answered", "counted from the answer"],
     )
-    def test_without_one_rule_a_marked_box_uses_an_old_primary(
+    def test_without_one_rule_a_tombstoned_box_uses_an_old_primary(
         self, rules: Rules, seed: int
     ) -> None:
         assert run_histories([seed], rules, has_deaths=True)[1] == [seed]
@@ -186,7 +190,7 @@
 
 
 class TestRestoredPlatform:
-    """The platform comes back from copies some seconds old, every 8 to 20 s."""
+    """The platform is restored from copies some seconds old, every 8 to 20 s."""
 
     def test_no_box_uses_an_old_primary(self) -> None:
         promotions, violations = run_histories(range(400), Rules(), has_restores=True)
@@ -198,7 +202,7 @@
         assert run_histories([seed], Rules(), has_restores=True)[1] == []
 
     @pytest.mark.parametrize("seed", [651, 1345])
-    def test_nor_where_boxes_also_ended_for_good(self, seed: int) -> None:
+    def test_no_old_primary_is_used_where_boxes_also_ended_for_good(self, seed: int) -> None:
         assert run_histories([seed], Rules(), has_deaths=True, has_restores=True)[1] == []
         without_verification = Rules(copies_are_unverified=False)
         assert run_histories([seed], without_verification, has_deaths=True, has_restores=True)[
@@ -219,12 +223,12 @@
         ],
         ids=[
             "updates do not count",
-            "copies are not doubted",
-            "reads count before it is confirmed",
-            "neither read nor era tells of the restoration",
-            "lists count where another told of it",
-            "lists count where it is restored again",
-            "lists count where another wrote it back",
+            "restored primaries are not unverified",
+            "reads count before the record is confirmed",
+            "neither reads nor the era show the restoration",
+            "lists count after another box reported the restoration",
+            "lists count after a second restoration",
+            "lists count after another box wrote the record back",
             "lists count at once",
         ],
     )
@@ -235,7 +239,7 @@
     def test_a_list_counts_late_where_another_box_wrote_the_record_back(
         self, table: LeaseTable
     ) -> None:
-        """The box never read what came back; what it is told of next is confirmed already."""
+        """The box never read the restored record; the next one received is already confirmed."""
         written = attrs.evolve(record(9, Leading("one")), updates=20, is_written_back=True, era=2)
         assert table.is_settled(0.5)
         table.adopt(written)
@@ -253,9 +257,7 @@
         assert table.record_to_write_back(1.1 + UNSETTLED_S) is None
         assert not table.is_settled(1.1 + UNSETTLED_S)
 
-    def test_what_was_lost_never_comes_back_over_what_was_confirmed(
-        self, table: LeaseTable
-    ) -> None:
+    def test_a_lost_update_never_replaces_a_confirmed_record(self, table: LeaseTable) -> None:
         restored = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
         table.read(restored, 1.0)
         assert table.renewal_ended([answer("box-2"), answer("box-3")], 2.0)
@@ -266,8 +268,8 @@
         lost = attrs.evolve(record(8, Leading("two")), updates=50)
         assert not table.adopt(lost)
 
-    def test_what_came_back_extends_leases_and_begins_none(self, table: LeaseTable) -> None:
-        """Who held one all the while knows that nobody took over; others know nothing."""
+    def test_a_restored_record_extends_leases_but_begins_none(self, table: LeaseTable) -> None:
+        """A lease that never lapsed excludes a takeover; a box without one cannot exclude it."""
         restored = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
         fresh = LeaseTable()
         for each in (table, fresh):
@@ -277,7 +279,7 @@
         assert table.may_acknowledge(GROUP, "one", 2.0 + LEASE_S - 0.01)
         assert fresh.lease(GROUP, 2.1) is None
 
-    def test_a_doubt_lasts_until_it_is_cleared(self, table: LeaseTable) -> None:
+    def test_a_primary_stays_unverified_until_it_is_verified(self, table: LeaseTable) -> None:
         fresh = LeaseTable()
         fresh.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
         written = fresh.record_to_write_back(1.1 + UNSETTLED_S)
@@ -290,28 +292,28 @@
         fresh.read(attrs.evolve(cleared, revision=11, updates=cleared.updates + 1), at + 1)
         assert fresh.may_acknowledge(GROUP, "one", at + 1)
 
-    def test_a_change_that_came_back_leaves_its_old_primary_in_doubt(self) -> None:
-        """It may have ended, and another begun, in the seconds that were lost."""
+    def test_a_restored_failover_leaves_its_old_primary_unverified(self) -> None:
+        """It may have ended, and another begun, in the lost seconds."""
         failover = FailingOver(Leading("one", 4), "two", planned=False, ordered=True)
         written = record(9, failover).written_back_over(9, ())
         assert written.unverified == {GROUP: Leading("one", 4, is_unverified=True)}
         assert written.moving == {}
 
-    def test_no_number_of_an_earlier_restoration_is_given_out_again(self) -> None:
+    def test_no_fence_of_an_earlier_restoration_is_reused(self) -> None:
         restored = attrs.evolve(record(2_000, Leading("one")), updates=7)
         first = restored.written_back_over(1_000_000, ())
         again = restored.written_back_over(2_000_000, ())
         assert again.fence - first.fence > MAX_LOST_UPDATES
         assert again.updates - first.updates > MAX_LOST_UPDATES
 
-    def test_a_silent_box_delays_the_confirmation(self, table: LeaseTable) -> None:
+    def test_an_unresponsive_box_delays_the_confirmation(self, table: LeaseTable) -> None:
         table.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
         assert not table.renewal_ended([answer("box-2")], 2.0)
         assert table.record_to_write_back(1.0 + UNSETTLED_S) is None
         assert table.record_to_write_back(1.1 + UNSETTLED_S) is not None
         assert not table.is_settled(1.1 + UNSETTLED_S)
 
-    def test_a_read_that_comes_late_is_not_taken_for_a_restoration(self, table: LeaseTable) -> None:
+    def test_a_late_read_is_no_restoration(self, table: LeaseTable) -> None:
         table.adopt(attrs.evolve(record(5, Leading("two")), updates=1))
         table.read(record(4, Leading("one")), 1.0)
         assert table.record_to_write_back(1.0) is None
--- a/wharftiller/tests/core/leadership/test_read_schedule.py
+++ b/wharftiller/tests/core/leadership/test_read_schedule.py
@@ -1,4 +1,4 @@
-"""When a box reads what boxes share."""
+"""Schedule of a box's reads of the shared state: guards against stale configuration and leases."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
     renewed=True,
     known_age_s=0.5,
 )
-"""Another box reads for all and rounds renew the leases."""
+"""Another box reads for all and renewals extend the leases."""
 
 PLATFORM_UNAVAILABLE = {"by_data_centre": True, "renewed": False, "platform_answers": False}
-"""Nobody of a large deployment is answered by the platform."""
+"""The platform is unavailable to all boxes of a large deployment."""
 
 
 class TestReading:
--- a/wharftiller/tests/core/leadership/test_verification.py
+++ b/wharftiller/tests/core/leadership/test_verification.py
@@ -1,4 +1,4 @@
-"""Who is promoted where nobody is left who knows whether a primary was replaced."""
+"""Successor of an unverified primary: guards against the promotion of an outdated endpoint."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 
 
 class TestAllAnswer:
-    def test_the_recorded_primary_leads_on_by_its_word(self) -> None:
+    def test_a_recorded_primary_that_reports_to_lead_is_kept(self) -> None:
         assert choose_successor(RECORDED, evidence(STILL_LED)) == "one"
 
     def test_a_newer_term_refutes_the_record(self) -> None:
-        """Whatever the old primary committed meanwhile: its log is longer here."""
+        """Even if the log of the old primary is longer."""
         assert choose_successor(RECORDED, evidence(REPLACED)) == "two"
 
     def test_orders_from_before_may_still_take_effect(self) -> None:
@@ -56,23 +56,23 @@
         assert choose_successor(RECORDED, evidence(statuses, is_settled=True)) == "three"
 
 
-class TestSomeAreSilent:
+class TestSomeAreUnresponsive:
     @pytest.mark.parametrize(
         "unseen",
         [{"silent": frozenset({"two"})}, {"vanished": frozenset({"two"})}],
         ids=["registered", "gone"],
     )
-    def test_one_that_cannot_be_asked_may_be_in_use(self, unseen: dict[str, object]) -> None:
+    def test_an_unreachable_endpoint_may_be_in_use(self, unseen: dict[str, object]) -> None:
         statuses = {"one": status(1, 12, leads=True), "three": status(1, 9)}
         assert choose_successor(RECORDED, evidence(statuses, **unseen)) is None
         assert choose_successor(RECORDED, evidence(statuses, **unseen, is_settled=True)) == "one"
 
-    def test_what_a_replica_knows_refutes_the_record_too(self) -> None:
+    def test_a_newer_term_of_a_replica_refutes_the_record_too(self) -> None:
         statuses = {"one": status(1, 12, leads=True), "three": status(2, 9)}
         assert choose_successor(RECORDED, evidence(statuses, "two", is_settled=True)) == "three"
 
     def test_no_acknowledged_write_is_left_behind(self) -> None:
-        """Each is on two of three endpoints: one may be silent, not two."""
+        """Each write is on two of three endpoints, so only one may be unresponsive."""
         primary = {"one": STILL_LED["one"]}
         both = {**primary, "two": STILL_LED["two"]}
         two = evidence(both, "three", is_settled=True, sync_replicas=1)
--- a/wharftiller/tests/core/leadership/weak_table.py
+++ b/wharftiller/tests/core/leadership/weak_table.py
@@ -1,4 +1,4 @@
-"""A lease table from which rules can be taken out, to see which of them are needed."""
+"""A lease table with rules that can be disabled, to check that each of them is needed."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @attrs.frozen
 class Rules:
-    """Which rules hold; all of them as the product has them."""
+    """The enabled rules; by default all of them, as in the product."""
 
-    asked_time_counts: bool = True
+    request_time_counts: bool = True
     every_box_answers: bool = True
     restarted_boxes_read_first: bool = True
     list_must_be_recent: bool = True
@@ -31,12 +31,12 @@
 
 
 class WeakTable(LeaseTable):
-    """A lease table without some rules."""
+    """A lease table with some rules disabled."""
 
     rules = Rules()
 
     def adopt(self, record: LeadershipRecord) -> bool:
-        """Take in a record; without the rule also one that lacks updates."""
+        """Adopt a record; without the rules also one with fewer updates, and ignoring its era."""
         if not self.rules.updates_count:
             record = attrs.evolve(record, updates=max(record.updates, self.record.updates))
         if not self.rules.eras_count:
@@ -44,7 +44,7 @@
         return super().adopt(record)
 
     def read(self, record: LeadershipRecord, asked_at: float) -> None:
-        """Take in a read; without the rule also one that lacks updates."""
+        """Update from a read; without the rules also one with fewer updates or unconfirmed."""
         if not self.rules.updates_count:
             updates = max(record.updates, self.record.updates)
             record = attrs.evolve(record, updates=updates)
@@ -55,18 +55,18 @@
         super().read(record, asked_at)
 
     def record_to_write_back(self, now: float) -> LeadershipRecord | None:
-        """Return what to write back; without the rule as the copy has it, nothing doubted."""
+        """Return the record to write back; without the rule with every primary verified."""
         written = super().record_to_write_back(now)
         if written is None or self.rules.copies_are_unverified:
             return written
         return attrs.evolve(written, groups=self.record.groups)
 
     def _may_only_extend(self, state: Leading) -> bool:
-        """Return whether checks begin no lease; without the rule all of them may."""
+        """Return whether checks begin no lease; without the rule they always may."""
         return self.rules.copies_are_unverified and super()._may_only_extend(state)
 
     def renewal_ended(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
-        """Renew by a round, under weaker rules where some are taken out."""
+        """Renew by replies of other boxes, without the disabled rules."""
         answers = list(answers)
         for answer in answers:
             self.adopt(answer.record)
