--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -106,7 +106,7 @@
             return
         is_settled = self._is_settled()
         if is_settled:
-            await self._first_record()
+            await self._write_first_record()
         record = self._state.leases.record
         if not is_settled and not _needs_verification_only(record):
             return
@@ -121,9 +121,9 @@
 
     async def _mark_verified(self) -> bool:
         record = self._state.leases.record
-        self._unverified.note(record)
+        self._unverified.update(record)
         verified = self._unverified.verified(record)
-        return bool(verified) and await self._unverified.clear(
+        return bool(verified) and await self._unverified.mark_verified(
             record, verified, self._rank("doubts")
         )
 
@@ -133,7 +133,7 @@
 
     # The first record ---------------------------------------------------
 
-    async def _first_record(self) -> None:
+    async def _write_first_record(self) -> None:
         """Record the endpoints that registered as primaries."""
         record = self._state.leases.record
         groups = {
@@ -214,12 +214,12 @@
         is_reachable = False
         queried = self._gateways.others_of([group])
 
-        async def ask_boxes() -> None:
+        async def query_boxes() -> None:
             nonlocal is_reachable
             is_reachable = await self._is_reachable_elsewhere(group, old, queried)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask_boxes)
+            nursery.start_soon(query_boxes)
             candidates = await self._successors.candidates(group, old)
         row = self._state.endpoints.rows.get(old)
         names = self._directory.boxes if queried is None else [box.name for box in queried]
@@ -266,13 +266,13 @@
             return False
         seen_s = now - self._seen.at - self._take_over_rank(record) * FIRST_RANK_DELAY_S
         if seen_s > FIRST_RANK_DELAY_S:
-            await self._ask_holder(_box_name(record.holder))
+            await self._query_holder(_box_name(record.holder))
         if self._holder_restarted(record.holder):
             return seen_s > FIRST_RANK_DELAY_S
         if any(failover.ordered for failover in record.moving.values()):
             return seen_s > TAKE_OVER_ORDERED_S
-        silent = _box_name(record.holder) not in self._directory.replies
-        return seen_s > (TAKE_OVER_SILENT_S if silent else TAKE_OVER_S)
+        is_silent = _box_name(record.holder) not in self._directory.replies
+        return seen_s > (TAKE_OVER_SILENT_S if is_silent else TAKE_OVER_S)
 
     def _take_over_rank(self, record: LeadershipRecord) -> int:
         """Return how many boxes that run statements of these groups act before this one."""
@@ -280,7 +280,7 @@
         names = self._directory.live() if others is None else [box.name for box in others]
         return min(MAX_RANKS, takeover_rank(self._state.box, names, str(record.fence)))
 
-    async def _ask_holder(self, name: str) -> None:
+    async def _query_holder(self, name: str) -> None:
         """Query the box that holds a failover, to learn whether it runs and in which process."""
         box = self._directory.boxes.get(name)
         among = [] if box is None else [box]
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -98,19 +98,19 @@
 
     async def _revoke_and_mark_ordered(self, record: LeadershipRecord) -> bool:
         """Revoke all leases, then mark the failovers as ordered; return whether they are."""
-        _, won_at = self._writer.won(record)
+        _, won_at = self._writer.won_times(record)
         answering: set[str] = set()
-        asked_at = trio.current_time()
+        probed_at = trio.current_time()
 
-        async def ask_lost(scope: trio.CancelScope) -> None:
+        async def probe_lost(scope: trio.CancelScope) -> None:
             answering.update(await self._probe_lost_primaries(record))
             if answering:
                 scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask_lost, nursery.cancel_scope)
+            nursery.start_soon(probe_lost, nursery.cancel_scope)
             answering.update(await self._revoker.all_released(record, won_at))
-        if not answering and trio.current_time() - asked_at > LAST_PROBE_FRESH_S:
+        if not answering and trio.current_time() - probed_at > LAST_PROBE_FRESH_S:
             answering.update(await self._probe_lost_primaries(record))
         if await self._cancel_answering(record, answering):
             return False
@@ -139,7 +139,7 @@
         """Probe every lost primary once more; return the groups whose primary answers."""
         answering: list[str] = []
 
-        async def ask(group: str, row: EndpointRow) -> None:
+        async def probe(group: str, row: EndpointRow) -> None:
             with trio.move_on_after(LAST_PROBE_TIMEOUT_S):
                 if await self._successors.status(row) is not None:
                     self._state.log.change("old_primary_answers", group=group, endpoint=row.name)
@@ -149,7 +149,7 @@
             for group, failover in record.moving.items():
                 row = self._state.endpoints.rows.get(failover.old.endpoint)
                 if row is not None and failover.is_cancellable:
-                    nursery.start_soon(ask, group, row)
+                    nursery.start_soon(probe, group, row)
         return answering
 
     async def _with_ordered_successors(self, record: LeadershipRecord) -> LeadershipRecord | None:
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -60,25 +60,25 @@
         dead = self._tombstones.confirmed_dead() if listed else []
         if dead:
             self._state.log.change("dead_boxes_not_waited_for", boxes=dead)
-        silent = {n: box for n, box in self._directory.boxes.items() if n not in dead}
+        pending = {n: box for n, box in self._directory.boxes.items() if n not in dead}
         if all(failover.planned for failover in record.moving.values()):
-            await self._wait_beside_silent_boxes(won_at, silent)
+            await self._wait_beside_unresponsive(won_at, pending)
         async with trio.open_nursery() as nursery:
             # All boxes at once: each first lets its writes end, for up to a second.
             nursery.start_soon(self._server.stop_using, record)
-            has_old_member = await self._request_releases(silent, record)
+            has_old_member = await self._request_releases(pending, record)
         while True:
             answering = self._answering_lost_primaries(record, won_at)
-            if answering or (listed and not silent):
+            if answering or (listed and not pending):
                 return answering
             now = trio.current_time()
             if now >= won_at + LEASE_S and (has_old_member or self._is_old_member(now)):
-                self._state.log.change("lease_waited_out", silent=sorted(silent))
+                self._state.log.change("lease_waited_out", silent=sorted(pending))
                 return []
             await trio.sleep(RELEASE_RETRY_S)
-            has_old_member |= await self._request_releases(silent, record)
+            has_old_member |= await self._request_releases(pending, record)
 
-    async def _wait_beside_silent_boxes(self, won_at: float, others: dict[str, Box]) -> None:
+    async def _wait_beside_unresponsive(self, won_at: float, others: dict[str, Box]) -> None:
         """Delay the release by the others for most of the wait for unresponsive boxes."""
         await self._directory.round()
         if others.keys() - self._directory.replies.keys():
@@ -110,7 +110,7 @@
                 answering.append(group)
         return answering
 
-    async def _request_releases(self, silent: dict[str, Box], record: LeadershipRecord) -> bool:
+    async def _request_releases(self, pending: dict[str, Box], record: LeadershipRecord) -> bool:
         """Request releases from these boxes; return whether an old member released its lease.
 
         An unresponsive box's renewals need a reply from every box that was listed `LISTING_S`
@@ -118,19 +118,19 @@
         """
         listed_times: list[float] = []
 
-        async def ask(name: str) -> None:
+        async def request(name: str) -> None:
             box = self._directory.boxes.get(name)
             if box is None:
-                silent.pop(name, None)
+                pending.pop(name, None)
                 return
             listed_s = await self._directory.request_release(box, record)
             if listed_s is not None:
                 listed_times.append(listed_s)
-                silent.pop(name, None)
+                pending.pop(name, None)
 
         async with trio.open_nursery() as nursery:
-            for name in list(silent):
-                nursery.start_soon(ask, name)
+            for name in list(pending):
+                nursery.start_soon(request, name)
         return any(listed_s > LISTING_S + LEASE_S for listed_s in listed_times)
 
     def _is_old_member(self, now: float) -> bool:
--- a/wharftiller/daemons/sessions/leadership/record_writer.py
+++ b/wharftiller/daemons/sessions/leadership/record_writer.py
@@ -81,7 +81,7 @@
         """Return the record with this process as its holder, under a new fence."""
         return attrs.evolve(record, fence=record.fence + 1, holder=self.incarnation)
 
-    def won(self, record: LeadershipRecord) -> tuple[float, float]:
+    def won_times(self, record: LeadershipRecord) -> tuple[float, float]:
         """Return when the record was requested and when this process learned that it won it."""
         times = self._won_at.get(record.fence)
         if times is None:
--- a/wharftiller/daemons/sessions/leadership/successors.py
+++ b/wharftiller/daemons/sessions/leadership/successors.py
@@ -70,14 +70,14 @@
         """Query these endpoints concurrently; return the status of those that answer."""
         replies: list[tuple[EndpointRow, EndpointStatus]] = []
 
-        async def ask(row: EndpointRow) -> None:
+        async def query(row: EndpointRow) -> None:
             status = await self.status(row)
             if status is not None:
                 replies.append((row, status))
 
         async with trio.open_nursery() as nursery:
             for row in rows:
-                nursery.start_soon(ask, row)
+                nursery.start_soon(query, row)
         return replies
 
     async def status(self, row: EndpointRow) -> EndpointStatus | None:
--- a/wharftiller/daemons/sessions/leadership/verification.py
+++ b/wharftiller/daemons/sessions/leadership/verification.py
@@ -43,13 +43,13 @@
         self._successors = successors
         self._era = -1
         self._since = math.inf
-        self._asked_at: dict[str, float] = {}
+        self._queried_at: dict[str, float] = {}
 
-    def note(self, record: LeadershipRecord) -> None:
+    def update(self, record: LeadershipRecord) -> None:
         """Record since when primaries are unverified; a further restoration restarts the time."""
         if not record.unverified:
             self._since = math.inf
-            self._asked_at.clear()
+            self._queried_at.clear()
         elif self._since == math.inf or record.era != self._era:
             self._since = trio.current_time()
         self._era = record.era
@@ -58,7 +58,7 @@
         """Return the unverified groups on whose primary this box holds a valid lease."""
         return record.unverified.keys() & self._state.leases.leased_groups(trio.current_time())
 
-    async def clear(self, record: LeadershipRecord, verified: set[str], rank: int) -> bool:
+    async def mark_verified(self, record: LeadershipRecord, verified: set[str], rank: int) -> bool:
         """Record the primaries of the groups ``verified`` as verified; return whether it did.
 
         Parameters
@@ -78,10 +78,10 @@
         """Return the endpoint to promote in ``group``; None while undecided."""
         now = trio.current_time()
         unverified_s = now - self._since - rank * RANK_DELAY_S
-        asked_s = now - self._asked_at.get(group, -math.inf)
-        if unverified_s < ORDERS_EFFECT_S or asked_s < RETRY_S:
+        since_query_s = now - self._queried_at.get(group, -math.inf)
+        if unverified_s < ORDERS_EFFECT_S or since_query_s < RETRY_S:
             return None
-        self._asked_at[group] = now
+        self._queried_at[group] = now
         statuses = await self._successors.statuses(group)
         rows = self._rows_of(group)
         limits = self._state.configuration.groups.get(group)
--- a/wharftiller/tests/core/leadership/histories.py
+++ b/wharftiller/tests/core/leadership/histories.py
@@ -44,10 +44,10 @@
     table: WeakTable
     registered: bool = False
     listed_since: float | None = None
-    frozen_until: float = 0.0
+    paused_until: float = 0.0
     dead: bool = False
     is_failing_over: bool = False
-    away_until: float = 0.0
+    unavailable_until: float = 0.0
     unverified_since: float | None = None
     tombstones: dict[str, tuple[int, float]] = attrs.field(factory=dict)
     answered_at: dict[str, float] = attrs.field(factory=dict)
@@ -132,13 +132,13 @@
         """Run now, or once the box's pause ends; never once it is dead."""
         if box.dead:
             return
-        if box.frozen_until > self.now:
-            self._at(box.frozen_until - self.now, lambda: self._when_awake(box, run))
+        if box.paused_until > self.now:
+            self._at(box.paused_until - self.now, lambda: self._when_awake(box, run))
             return
         run()
 
     def _reaches_platform(self, box: ModelBox) -> bool:
-        return self.now >= self._platform.away_until and self.now >= box.away_until
+        return self.now >= self._platform.unavailable_until and self.now >= box.unavailable_until
 
     def _connected(self, a: ModelBox, b: ModelBox) -> bool:
         return self.now >= self._cuts.get(frozenset((a.name, b.name)), 0.0)
@@ -202,7 +202,7 @@
         asked_at = self.now
         answers: list[RenewalReply] = []
         for other in self.boxes:
-            if other is box or other.dead or other.frozen_until > self.now:
+            if other is box or other.dead or other.paused_until > self.now:
                 continue
             if self._connected(box, other):
                 other.answered_at[box.name] = self.now
@@ -235,11 +235,11 @@
                 if self._reaches_platform(box) and name not in ("", box.name):
                     self._platform.tombstones[name] = next(self._numbers)
             case 0:
-                box.frozen_until = self.now + pick.uniform(0.5, 9)
+                box.paused_until = self.now + pick.uniform(0.5, 9)
             case 1:
-                box.away_until = self.now + pick.uniform(1, 12)
+                box.unavailable_until = self.now + pick.uniform(1, 12)
             case 2:
-                self._platform.away_until = self.now + pick.uniform(1, 14)
+                self._platform.unavailable_until = self.now + pick.uniform(1, 14)
             case 3:
                 for other in self.boxes:
                     if pick.random() < 0.7:
@@ -259,13 +259,13 @@
         """Take a copy; some seconds later the platform fails and is restored from it."""
         platform = self._platform
         copy = platform.copy()
-        away_s = self._random.uniform(0.2, 3.0)
+        outage_s = self._random.uniform(0.2, 3.0)
 
-        def away() -> None:
-            platform.away_until = max(platform.away_until, self.now + away_s)
-            self._at(away_s, lambda: platform.restore(copy))
+        def fail() -> None:
+            platform.unavailable_until = max(platform.unavailable_until, self.now + outage_s)
+            self._at(outage_s, lambda: platform.restore(copy))
 
-        self._at(self._random.uniform(0.1, MAX_COPY_AGE_S), away)
+        self._at(self._random.uniform(0.1, MAX_COPY_AGE_S), fail)
         self._at(self._random.uniform(8, 20), self._take_copy)
 
     def _write_back(self, box: ModelBox) -> None:
@@ -337,8 +337,8 @@
     def _take_record(
         self, box: ModelBox, known: LeadershipRecord, failover: FailingOver, rng: random.Random
     ) -> None:
-        held = attrs.evolve(known, fence=known.fence + 1, holder=box.name)
-        won = self._replace_record(held.with_group(GROUP, failover))
+        taken = attrs.evolve(known, fence=known.fence + 1, holder=box.name)
+        won = self._replace_record(taken.with_group(GROUP, failover))
         box.is_failing_over = True
         # Replies read before the win may still be in flight to other boxes.
         listed = dict(self._platform.listed) if self._rules.list_read_after_win else None
@@ -357,40 +357,40 @@
     ) -> None:
         box.table.adopt(won)
         box.table.release_lease(GROUP, won.moving[GROUP].old.endpoint)
-        silent = set(listed if listed is not None else box.table.boxes) - {box.name}
+        pending = set(listed if listed is not None else box.table.boxes) - {box.name}
         self._update_tombstones(box, tombstones)
         dead = {
-            name for name in silent & box.tombstones.keys() if self._is_confirmed_dead(box, name)
+            name for name in pending & box.tombstones.keys() if self._is_confirmed_dead(box, name)
         }
         self.presumed_dead += len(dead)
-        silent -= dead
-        self._request_releases(box, won, silent, self.now)
+        pending -= dead
+        self._request_releases(box, won, pending, self.now)
 
     def _request_releases(
         self,
         box: ModelBox,
         won: LeadershipRecord,
-        silent: set[str],
+        pending: set[str],
         won_at: float,
         has_old_member: bool = False,
     ) -> None:
         for other in self.boxes:
-            awake = not other.dead and other.frozen_until <= self.now
-            if other.name in silent and awake and self._connected(box, other):
+            awake = not other.dead and other.paused_until <= self.now
+            if other.name in pending and awake and self._connected(box, other):
                 other.table.adopt(won)
                 other.table.release_lease(GROUP, won.moving[GROUP].old.endpoint)
-                silent.discard(other.name)
+                pending.discard(other.name)
                 has_old_member |= self._is_old_member(other)
         old_member = (
             self._is_old_member(box) or has_old_member or not self._rules.promoter_is_old_member
         )
-        if not silent or (self.now >= won_at + LEASE_S and old_member):
+        if not pending or (self.now >= won_at + LEASE_S and old_member):
             self._promote(box, won)
             return
         self._at(
             0.2,
             lambda: self._when_awake(
-                box, lambda: self._request_releases(box, won, silent, won_at, has_old_member)
+                box, lambda: self._request_releases(box, won, pending, won_at, has_old_member)
             ),
         )
 
@@ -422,8 +422,8 @@
             self._at(0.5, lambda: self._when_awake(box, lambda: self._record_promoted(box, won)))
             return
         leading = Leading(won.moving[GROUP].successor, self._platform.revision + 1)
-        led = attrs.evolve(won, updates=won.updates + 1).with_group(GROUP, leading)
-        box.table.adopt(self._platform.write(led))
+        recorded = attrs.evolve(won, updates=won.updates + 1).with_group(GROUP, leading)
+        box.table.adopt(self._platform.write(recorded))
         box.is_failing_over = False
 
 
--- a/wharftiller/tests/core/leadership/model_platform.py
+++ b/wharftiller/tests/core/leadership/model_platform.py
@@ -37,7 +37,7 @@
         The registered boxes.
     tombstones : dict of str to int
         Number of the tombstone of each box presumed dead.
-    away_until : float
+    unavailable_until : float
         When the platform answers again, in seconds.
     written_at : float
         When the record was last written for a failover, in seconds.
@@ -48,7 +48,7 @@
     era: int = 0
     listed: dict[str, ModelBox] = attrs.field(factory=dict)
     tombstones: dict[str, int] = attrs.field(factory=dict)
-    away_until: float = 0.0
+    unavailable_until: float = 0.0
     written_at: float = 0.0
 
     def read_record(self) -> LeadershipRecord:
