--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -1,4 +1,4 @@
-"""Have every box stop using the primaries being replaced, or wait until its leases end."""
+"""Revoke every box's leases on the primaries being replaced, or wait until they expire."""
 
 from __future__ import annotations
 
@@ -20,113 +20,119 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 RELEASE_RETRY_S = 0.2
-"""Time between questions to boxes that did not answer as hoped, in seconds."""
+"""Time between release requests to boxes that have not released their leases, in seconds."""
 
-STOP_BEFORE_S = 0.4
-"""How long before silent boxes' leases end the others are asked to stop, in seconds.
+RELEASE_BEFORE_END_S = 0.4
+"""Time before the expiry of unresponsive boxes' leases to request releases, in seconds.
 
-Time for a few statements to end; an open transaction may take `QUIET_WAIT_S`.
+Enough for a few statements to end; an open transaction may take `QUIET_WAIT_S`.
 """
 
 
 class LeaseRevoker:
-    """Has this box and every other one stop."""
+    """Has this box and every other one release the leases on old primaries."""
 
     def __init__(
         self,
         state: SharedState,
         directory: BoxDirectory,
-        marks: Tombstones,
+        tombstones: Tombstones,
         server: BoxServer,
         store: SharedObjects,
-        listings: SnapshotApplier,
+        snapshots: SnapshotApplier,
     ) -> None:
         self._state = state
         self._directory = directory
-        self._marks = marks
+        self._tombstones = tombstones
         self._server = server
         self._store = store
-        self._listings = listings
+        self._snapshots = snapshots
 
     async def all_released(self, record: LeadershipRecord, won_at: float) -> list[str]:
-        """Return once no box uses an old primary; the groups whose lost one answers again."""
-        listed = await self._list_anew()
-        dead = self._marks.confirmed_dead() if listed else []
+        """Wait until no box uses an old primary.
+
+        Returns
+        -------
+        list of str
+            The groups whose lost primary answers again; returned at once if there are any.
+        """
+        listed = await self._reload_boxes()
+        dead = self._tombstones.confirmed_dead() if listed else []
         if dead:
             self._state.log.change("dead_boxes_not_waited_for", boxes=dead)
-        silent = {n: box for n, box in self._directory.boxes.items() if n not in dead}
-        if all(moving.planned for moving in record.moving.values()):
-            await self._let_silent_leases_end(won_at, silent)
+        pending = {n: box for n, box in self._directory.boxes.items() if n not in dead}
+        if all(failover.planned for failover in record.moving.values()):
+            await self._wait_beside_unresponsive(won_at, pending)
         async with trio.open_nursery() as nursery:
-            # Each box first lets its writes end, for a second at most: all at once.
+            # All boxes at once: each first lets its writes end, for up to a second.
             nursery.start_soon(self._server.stop_using, record)
-            vouched = await self._request_releases(silent, record)
+            has_old_member = await self._request_releases(pending, record)
         while True:
-            answering = self._answering_again(record, won_at)
-            if answering or (listed and not silent):
+            answering = self._answering_lost_primaries(record, won_at)
+            if answering or (listed and not pending):
                 return answering
             now = trio.current_time()
-            if now >= won_at + LEASE_S and (vouched or self._is_old_member(now)):
-                self._state.log.change("lease_waited_out", silent=sorted(silent))
+            if now >= won_at + LEASE_S and (has_old_member or self._is_old_member(now)):
+                self._state.log.change("lease_waited_out", silent=sorted(pending))
                 return []
             await trio.sleep(RELEASE_RETRY_S)
-            vouched |= await self._request_releases(silent, record)
+            has_old_member |= await self._request_releases(pending, record)
 
-    async def _let_silent_leases_end(self, won_at: float, asked: dict[str, Box]) -> None:
-        """Let the other boxes go on for most of the wait for boxes that cannot be asked."""
+    async def _wait_beside_unresponsive(self, won_at: float, others: dict[str, Box]) -> None:
+        """Delay the release by the others for most of the wait for unresponsive boxes."""
         await self._directory.round()
-        if asked.keys() - self._directory.replies.keys():
-            await trio.sleep_until(won_at + LEASE_S - STOP_BEFORE_S)
+        if others.keys() - self._directory.replies.keys():
+            await trio.sleep_until(won_at + LEASE_S - RELEASE_BEFORE_END_S)
 
-    async def _list_anew(self) -> bool:
+    async def _reload_boxes(self) -> bool:
         """Read the list of boxes after the record was won; return whether it was read.
 
-        A box joins the list before its first lease, so this list holds every box
-        that may hold a lease from before the win.
+        A box is listed before its first lease, so this list holds every box that may
+        hold a lease from before the win.
         """
         asked_at = trio.current_time()
         try:
-            listing = await self._store.read()
+            snapshot = await self._store.read()
         except PlatformUnavailableError as error:
             self._state.log.event("boxes_not_listed", why=str(error))
             return False
-        return self._listings.take(listing, asked_at)
+        return self._snapshots.take(snapshot, asked_at)
 
-    def _answering_again(self, record: LeadershipRecord, won_at: float) -> list[str]:
-        """Return the groups whose lost primary answers again and may still go on leading."""
+    def _answering_lost_primaries(self, record: LeadershipRecord, won_at: float) -> list[str]:
+        """Return the groups whose lost primary answers again and may go on leading."""
         answering = []
-        for group, moving in record.moving.items():
-            row = self._state.endpoints.rows.get(moving.old.endpoint)
-            if not moving.may_be_called_off or row is None:
+        for group, failover in record.moving.items():
+            row = self._state.endpoints.rows.get(failover.old.endpoint)
+            if not failover.is_cancellable or row is None:
                 continue
             if row.last_contact_at > won_at:
                 self._state.log.change("old_primary_answers", group=group, endpoint=row.name)
                 answering.append(group)
         return answering
 
-    async def _request_releases(self, silent: dict[str, Box], record: LeadershipRecord) -> bool:
-        """Ask the silent boxes for their word; return whether an old member gave one.
+    async def _request_releases(self, pending: dict[str, Box], record: LeadershipRecord) -> bool:
+        """Request releases from these boxes; return whether an old member released its lease.
 
-        A silent box's rounds ask every box that was listed `LISTING_S` before, so an
-        old member that knows of the change keeps it from renewing its lease.
+        An unresponsive box's renewals need a reply from every box that was listed `LISTING_S`
+        before, so an old member that has the new record keeps it from renewing its lease.
         """
-        members: list[float] = []
+        listed_times: list[float] = []
 
-        async def ask(name: str) -> None:
+        async def request(name: str) -> None:
             box = self._directory.boxes.get(name)
             if box is None:
-                silent.pop(name, None)
+                pending.pop(name, None)
                 return
             listed_s = await self._directory.request_release(box, record)
             if listed_s is not None:
-                members.append(listed_s)
-                silent.pop(name, None)
+                listed_times.append(listed_s)
+                pending.pop(name, None)
 
         async with trio.open_nursery() as nursery:
-            for name in list(silent):
-                nursery.start_soon(ask, name)
-        return any(listed_s > LISTING_S + LEASE_S for listed_s in members)
+            for name in list(pending):
+                nursery.start_soon(request, name)
+        return any(listed_s > LISTING_S + LEASE_S for listed_s in listed_times)
 
     def _is_old_member(self, now: float) -> bool:
-        """Return whether every other box's list must hold this box by now."""
+        """Return whether this box is certainly in every other box's list."""
         return self._directory.listed_s(now) > LISTING_S + LEASE_S
--- a/wharftiller/daemons/sessions/leadership/verification.py
+++ b/wharftiller/daemons/sessions/leadership/verification.py
@@ -1,4 +1,4 @@
-"""Settle primaries that are doubted since the platform came back from a copy."""
+"""Verify or replace primaries that are unverified since the platform was restored from a copy."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 RETRY_S = 1.0
-"""Time between questions to the endpoints of a group whose primary is doubted, in seconds.
+"""Time between status queries to the endpoints of an unverified group, in seconds.
 
-Each takes a slot of every endpoint; one that comes back is seen soon enough.
+Each query takes a slot of every endpoint.
 """
 
 RANK_DELAY_S = 0.3
-"""Time by which each further box leaves a doubt to those before it, in seconds."""
+"""Delay per rank before a box verifies or replaces a primary, in seconds."""
 
 
 class UnverifiedPrimaries:
-    """Clears doubts by this box's leases, else finds out whom to promote."""
+    """Verifies primaries by this box's leases, else finds the endpoint to promote."""
 
     def __init__(
         self, state: SharedState, writer: RecordWriter, successors: SuccessorFinder
@@ -43,45 +43,45 @@
         self._successors = successors
         self._era = -1
         self._since = math.inf
-        self._asked_at: dict[str, float] = {}
+        self._queried_at: dict[str, float] = {}
 
-    def note(self, record: LeadershipRecord) -> None:
-        """Note since when primaries are doubted; a further restoration begins anew."""
-        if not record.doubted:
+    def update(self, record: LeadershipRecord) -> None:
+        """Record since when primaries are unverified; a further restoration restarts the time."""
+        if not record.unverified:
             self._since = math.inf
-            self._asked_at.clear()
+            self._queried_at.clear()
         elif self._since == math.inf or record.era != self._era:
             self._since = trio.current_time()
         self._era = record.era
 
     def verified(self, record: LeadershipRecord) -> set[str]:
-        """Return the doubted groups on whose primary this box holds a valid lease."""
-        return record.doubted.keys() & self._state.leases.surely_led(trio.current_time())
+        """Return the unverified groups on whose primary this box holds a valid lease."""
+        return record.unverified.keys() & self._state.leases.leased_groups(trio.current_time())
 
-    async def clear(self, record: LeadershipRecord, sure: set[str], turn: int) -> bool:
-        """Record ``sure``, which this box vouches for, as led; return whether it did.
+    async def mark_verified(self, record: LeadershipRecord, verified: set[str], rank: int) -> bool:
+        """Record the primaries of the groups ``verified`` as verified; return whether it did.
 
         Parameters
         ----------
-        turn : int
-            How many boxes go first.
+        rank : int
+            Number of boxes that act before this one.
         """
-        if trio.current_time() - self._since < turn * RANK_DELAY_S:
+        if trio.current_time() - self._since < rank * RANK_DELAY_S:
             return False
-        for group in sorted(sure):
-            leading = attrs.evolve(record.doubted[group], is_unverified=False)
+        for group in sorted(verified):
+            leading = attrs.evolve(record.unverified[group], is_unverified=False)
             record = record.with_group(group, leading)
-        self._state.log.change("doubts_cleared", groups=sorted(sure))
+        self._state.log.change("doubts_cleared", groups=sorted(verified))
         return await self._writer.write(record)
 
-    async def successor(self, group: str, doubted: Leading, turn: int) -> str | None:
-        """Return whom to promote in ``group``, None while that cannot be told."""
+    async def successor(self, group: str, unverified: Leading, rank: int) -> str | None:
+        """Return the endpoint to promote in ``group``; None while undecided."""
         now = trio.current_time()
-        unverified_s = now - self._since - turn * RANK_DELAY_S
-        asked_s = now - self._asked_at.get(group, -math.inf)
-        if unverified_s < ORDERS_EFFECT_S or asked_s < RETRY_S:
+        unverified_s = now - self._since - rank * RANK_DELAY_S
+        since_query_s = now - self._queried_at.get(group, -math.inf)
+        if unverified_s < ORDERS_EFFECT_S or since_query_s < RETRY_S:
             return None
-        self._asked_at[group] = now
+        self._queried_at[group] = now
         statuses = await self._successors.statuses(group)
         rows = self._rows_of(group)
         limits = self._state.configuration.groups.get(group)
@@ -93,11 +93,11 @@
             is_settled=self._state.leases.is_settled(trio.current_time()),
             sync_replicas=0 if limits is None else limits.sync_replicas,
         )
-        successor = choose_successor(doubted, evidence)
+        successor = choose_successor(unverified, evidence)
         self._state.log.event(
             "primary_doubted",
             group=group,
-            recorded=doubted.endpoint,
+            recorded=unverified.endpoint,
             told=[_described(name, status) for name, status in statuses.items()],
             silent=sorted(evidence.silent | evidence.vanished),
             doubted_s=round(unverified_s, 1),
@@ -112,6 +112,6 @@
 
 
 def _described(name: str, status: EndpointStatus) -> str:
-    """Return what an endpoint told, in a few words for the log."""
+    """Return an endpoint's status in a few words for the log."""
     role = "leads" if status.leads else "follows in"
     return f"{name} {role} term {status.term}, log {status.received}"
--- a/wharftiller/tests/core/leadership/model_endpoints.py
+++ b/wharftiller/tests/core/leadership/model_endpoints.py
@@ -1,6 +1,6 @@
-"""The endpoints of a history: who leads which term by its own word, and who answers.
+"""The endpoints of a history: the terms that they report to lead, and which of them answer.
 
-Their dice are their own, so that a history's other troubles come as they do without them.
+They use a random generator of their own, so that they do not change a history's other faults.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.sessions.statements import EndpointStatus
 
-KNOWS_LATE_S = 15.0
-"""Longest time for which a replaced primary goes on believing that it leads, in seconds."""
+MAX_DEMOTION_DELAY_S = 15.0
+"""Maximum time for which a replaced primary still reports that it leads, in seconds."""
 
-DARK_S = 25.0
-"""Longest time for which an endpoint answers nobody, in seconds."""
+MAX_UNRESPONSIVE_S = 25.0
+"""Maximum time for which an endpoint is unresponsive, in seconds."""
 
-DARK_PART = 0.4
-"""Part of the promotions after which the new primary falls silent within a second."""
+UNRESPONSIVE_FRACTION = 0.4
+"""Fraction of promotions after which the new primary becomes unresponsive within a second."""
 
-UNLISTED_PART = 0.3
-"""Part of the silent ones that are not registered meanwhile either."""
+UNLISTED_FRACTION = 0.3
+"""Fraction of the unresponsive endpoints that are not registered meanwhile."""
 
 
 @attrs.define
@@ -31,14 +31,14 @@
 
     name: str
     term: int
-    believes_until: float = float("inf")
-    dark_from: float = float("inf")
-    dark_until: float = float("inf")
+    leads_until: float = float("inf")
+    unresponsive_from: float = float("inf")
+    unresponsive_until: float = float("inf")
     is_unlisted: bool = False
 
-    def is_dark(self, now: float) -> bool:
-        """Return whether it answers nobody."""
-        return self.dark_from <= now < self.dark_until
+    def is_unresponsive(self, now: float) -> bool:
+        """Return whether it does not answer."""
+        return self.unresponsive_from <= now < self.unresponsive_until
 
 
 class ModelEndpoints:
@@ -50,33 +50,37 @@
         self._primary = self._all["p0"]
 
     def promote(self, name: str, now: float) -> None:
-        """Have an endpoint lead the next term; nothing changes if it leads already."""
+        """Promote an endpoint to the next term; does nothing if it leads already."""
         if name == self._primary.name:
             return
-        dice = self._random
-        self._primary.believes_until = now + dice.uniform(0.0, KNOWS_LATE_S)
+        rng = self._random
+        self._primary.leads_until = now + rng.uniform(0.0, MAX_DEMOTION_DELAY_S)
         promoted = ModelEndpoint(name, self._primary.term + 1)
-        if dice.random() < DARK_PART:
-            promoted.dark_from = now + dice.random()
-            promoted.dark_until = promoted.dark_from + dice.uniform(0.0, DARK_S)
-            promoted.is_unlisted = dice.random() < UNLISTED_PART
+        if rng.random() < UNRESPONSIVE_FRACTION:
+            promoted.unresponsive_from = now + rng.random()
+            promoted.unresponsive_until = promoted.unresponsive_from + rng.uniform(
+                0.0, MAX_UNRESPONSIVE_S
+            )
+            promoted.is_unlisted = rng.random() < UNLISTED_FRACTION
         self._all[name] = self._primary = promoted
 
     def statuses(self, now: float) -> dict[str, EndpointStatus]:
-        """Return what those tell of themselves that answer now."""
+        """Return the status of each endpoint that answers now."""
         return {
             name: self._status(each, now)
             for name, each in self._all.items()
-            if not each.is_dark(now)
+            if not each.is_unresponsive(now)
         }
 
     def silent(self, now: float) -> frozenset[str]:
-        """Return those that are registered and do not answer now."""
+        """Return the registered endpoints that do not answer now."""
         return frozenset(
-            each.name for each in self._all.values() if each.is_dark(now) and not each.is_unlisted
+            each.name
+            for each in self._all.values()
+            if each.is_unresponsive(now) and not each.is_unlisted
         )
 
     def _status(self, endpoint: ModelEndpoint, now: float) -> EndpointStatus:
-        leads = endpoint is self._primary or now < endpoint.believes_until
+        leads = endpoint is self._primary or now < endpoint.leads_until
         term = endpoint.term if leads else self._primary.term
         return EndpointStatus(leads, term, LogPosition(endpoint.term, 0), connections=0)
