--- a/wharftiller/core/sessions/connection_limits.py
+++ b/wharftiller/core/sessions/connection_limits.py
@@ -1,9 +1,8 @@
-"""How many callers' connections a box takes, and who leaves where it is full.
+"""Limit of the callers' connections of a box, and which of them a full box closes.
 
-The load: boxes of very unequal limits that all get their share of the callers, crowds that come
-at once, and connections that never ask anything. Callers need a box that takes them while it can,
-that sends them on at once where it cannot, and that never lacks a descriptor for the statement
-it has already taken.
+Boxes have very unequal limits, load peaks arrive at once, and some connections never send a
+statement. A box accepts connections up to its own limits, refuses others at once, and always
+keeps descriptors free for the statements that it has accepted.
 """
 
 from __future__ import annotations
@@ -15,39 +14,39 @@
 from wharftiller.core.errors import WharfError
 
 OWN_FLOOR = 96
-"""Descriptors that a box needs for itself at least: listeners, the platform, other boxes and the
+"""Minimum of descriptors for a box's own use: listeners, the platform, other boxes and the
 endpoints of a few groups."""
 
 CALLERS_FLOOR = 16
-"""Callers' connections that a box must be able to take to be worth starting."""
+"""Minimum of callers' connections for which a box starts."""
 
 GROWTH_FRACTION = 0.25
-"""Part of the descriptors kept for connections of its own that a box does not hold yet."""
+"""Fraction of the descriptors reserved for further connections of the box's own."""
 
 MAX_GROWTH = 400
-"""Most descriptors kept for that: two connections to and from each of a hundred boxes."""
+"""Maximum of descriptors reserved for that: two connections to and from each of a hundred
+boxes."""
 
 PROCESS_MB = 96.0
-"""Memory that a process needs without callers, in MB; the libraries take half of it."""
+"""Memory of a process without callers, in MB."""
 
 SESSION_KB = 64.0
-"""Memory kept for one caller's session with a statement under way, in kB."""
+"""Memory of one caller's session with a statement under way, in kB."""
 
 NEARLY_FULL_FRACTION = 0.9
-"""Part of the room from which on a box is not ready: the balancer passes it over before callers
-are refused."""
+"""Fraction of the room from which on a box is not ready, so that the balancer skips it before
+callers are refused."""
 
 REOPEN_FRACTION = 0.8
-"""Part of the room below which a box is ready again: lower, so that it does not change each
-second."""
+"""Fraction of the room below which a box is ready again; lower, against flapping."""
 
 MIN_HANDSHAKE_S = 1.0
-"""Time that a full box leaves a caller to name its database, in seconds: two round trips of the
+"""Time that a full box grants a caller to name its database, in seconds: two round trips of the
 farthest caller and one lost packet."""
 
 MIN_IDLE_S = 2.0
-"""Time that a session has rested before a full box closes it, in seconds: longer than the pause
-between two operations of a busy caller."""
+"""Time that a session must be idle before a full box closes it, in seconds: longer than the
+pause between two operations of an active caller."""
 
 
 class TooFewDescriptorsError(WharfError):
@@ -58,16 +57,16 @@
 
 @attrs.frozen
 class BoxLimits:
-    """What this box may use.
+    """Resource limits of this box.
 
     Attributes
     ----------
     descriptors : int
         Descriptors that the process may have open.
     kept_for_files : int
-        Those among them that connections may not use.
+        Descriptors among them that are reserved for files.
     memory_mb : float
-        Memory of the process, in MB.
+        Memory that the process may use, in MB.
     """
 
     descriptors: int = 4_096
@@ -76,16 +75,16 @@
 
     @property
     def connections(self) -> int:
-        """Connections of every kind that may be open at once."""
+        """Number of connections of every kind that may be open at once."""
         return self.descriptors - self.kept_for_files
 
     def check(self) -> None:
-        """Check that a box can work within these.
+        """Check that a box can run within these limits.
 
         Raises
         ------
         TooFewDescriptorsError
-            If it cannot; the message names what it needs.
+            If there are too few descriptors; the message names the number needed.
         """
         needed = self.kept_for_files + OWN_FLOOR + CALLERS_FLOOR
         if self.descriptors < needed:
@@ -97,13 +96,12 @@
 
 
 def room_for_callers(limits: BoxLimits, own: int) -> int:
-    """Return how many callers' connections a box can take.
+    """Return how many callers' connections a box can hold.
 
     Parameters
     ----------
     own : int
-        Connections of its own that it holds now: to and from other boxes, endpoints and the
-        platform.
+        Its own open connections: to and from other boxes, endpoints and the platform.
     """
     growth = min(MAX_GROWTH, int(GROWTH_FRACTION * limits.connections))
     by_descriptors = limits.connections - max(OWN_FLOOR, own + growth)
@@ -115,72 +113,73 @@
 
 
 class ConnectionLimiter(Generic[CallerConnection]):
-    """The callers' connections of one box: who may come in, and who leaves for whom.
+    """The callers' connections of one box: admission, and which one to close for another.
 
-    Each is silent until it has named its database, then rests or is busy. Guests are kept in
-    the order in which they began to be silent or to rest, so that a crowd costs no search.
+    A connection is in its handshake until it has named its database, then idle or busy.
+    Handshakes and idle connections are kept in the order in which they became so: finding the
+    oldest needs no search.
     """
 
     def __init__(self, limits: BoxLimits) -> None:
         self._limits = limits
-        self._silent: dict[CallerConnection, float] = {}
-        self._resting: dict[CallerConnection, float] = {}
+        self._handshaking: dict[CallerConnection, float] = {}
+        self._idle: dict[CallerConnection, float] = {}
         self._busy: set[CallerConnection] = set()
         self._nearly_full = False
         self._room = room_for_callers(limits, 0)
 
     def __len__(self) -> int:
-        return len(self._silent) + len(self._resting) + len(self._busy)
+        return len(self._handshaking) + len(self._idle) + len(self._busy)
 
     @property
     def room(self) -> int:
-        """How many callers' connections can be taken."""
+        """Number of callers' connections that the box can hold."""
         return self._room
 
     def note_own(self, own: int) -> None:
-        """Note how many connections of its own the box holds."""
+        """Record the number of the box's own connections."""
         self._room = room_for_callers(self._limits, own)
 
     @property
     def is_nearly_full(self) -> bool:
-        """Whether new callers are better sent to other boxes."""
-        part = REOPEN_FRACTION if self._nearly_full else NEARLY_FULL_FRACTION
-        self._nearly_full = len(self) >= part * self.room
+        """Whether new callers should go to other boxes."""
+        fraction = REOPEN_FRACTION if self._nearly_full else NEARLY_FULL_FRACTION
+        self._nearly_full = len(self) >= fraction * self.room
         return self._nearly_full
 
     @property
     def is_full(self) -> bool:
-        """Whether nobody more can be taken."""
+        """Whether no further connection can be accepted."""
         return len(self) >= self.room
 
     def came(self, caller: CallerConnection, now: float) -> None:
-        """Note a connection; it has named no database yet."""
-        self._silent[caller] = now
+        """Record a new connection, which has named no database yet."""
+        self._handshaking[caller] = now
 
     def rests(self, caller: CallerConnection, now: float) -> None:
-        """Note that a guest waits for its caller, outside any transaction."""
+        """Record that a connection is idle, outside any transaction."""
         self.left(caller)
-        self._resting[caller] = now
+        self._idle[caller] = now
 
     def works(self, caller: CallerConnection) -> None:
-        """Note that a guest has a statement under way, or a transaction."""
+        """Record that a connection has a statement under way or an open transaction."""
         self.left(caller)
         self._busy.add(caller)
 
     def left(self, caller: CallerConnection) -> None:
-        """Note that a guest is gone."""
-        self._silent.pop(caller, None)
-        self._resting.pop(caller, None)
+        """Remove a connection."""
+        self._handshaking.pop(caller, None)
+        self._idle.pop(caller, None)
         self._busy.discard(caller)
 
     def who_leaves(self, now: float) -> CallerConnection | None:
-        """Return whom to close so that somebody else can come in; None if nobody.
+        """Return the connection to close in favour of a new one; None if there is none.
 
-        Those that never asked for anything go first. Then goes who rests longest: its caller
-        notices nothing but a session that it opens anew elsewhere.
+        The oldest handshake comes first, then the session that has been idle longest: its
+        caller only has to reconnect elsewhere.
         """
-        for callers, least_s in ((self._silent, MIN_HANDSHAKE_S), (self._resting, MIN_IDLE_S)):
-            first = next(iter(callers), None)
-            if first is not None and now - callers[first] >= least_s:
-                return first
+        for callers, min_s in ((self._handshaking, MIN_HANDSHAKE_S), (self._idle, MIN_IDLE_S)):
+            oldest = next(iter(callers), None)
+            if oldest is not None and now - callers[oldest] >= min_s:
+                return oldest
         return None
--- a/wharftiller/core/sessions/endpoints.py
+++ b/wharftiller/core/sessions/endpoints.py
@@ -1,4 +1,4 @@
-"""What this box knows of each endpoint from its own answers."""
+"""State of each endpoint, as this box observes it."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
 """Weight of the newest statement in the smoothed service time."""
 
 FIRST_SERVICE_S = 0.02
-"""Service time assumed of an endpoint that has not answered yet, in seconds."""
+"""Service time assumed for an endpoint that has not answered yet, in seconds."""
 
 SILENCE_FLOOR_S = 0.3
-"""An answer owed for less than this is never taken as silence, in seconds.
+"""Minimum time without a reply before an endpoint counts as unresponsive, in seconds.
 
-A packet that is lost is sent again after 0.2 s, the least that the kernel waits: one loss
-is no silence.
+Longer than the kernel's minimum retransmission timeout of 0.2 s, so that one lost packet does
+not suffice.
 """
 
 SILENCE_FACTOR = 6.0
-"""An answer owed for so many service times is taken as silence."""
+"""Service times without a reply after which an endpoint counts as unresponsive."""
 
 LEAVING_MARGIN_S = 1.5
-"""How long before a leaving primary may end it is used no more, in seconds.
+"""Time before the end of a leaving primary's service at which it gets no more statements, in
+seconds.
 
-For the announcement's way here (a read of the platform every 0.8 s) and a statement's way
-there (0.7 s to get a connection).
+Covers the delay of its announcement (the platform is read every 0.8 s) and of a statement
+(0.7 s to get a connection).
 """
 
 MISSING_GONE_S = 2.5
-"""Time after which an endpoint that is missing from the list is gone, in seconds.
+"""Time after which an endpoint that is missing from the list counts as removed, in seconds.
 
-Entries lapse while the platform is away; those of living endpoints are back two
-seconds after it returns.
+Entries expire while the platform is unavailable; live endpoints register again within two
+seconds of its return.
 """
 
 
@@ -47,19 +48,21 @@
     Attributes
     ----------
     outstanding : dict of int to float
-        Send times of the statements not answered yet, by connection number.
+        Send times of the statements not answered yet, in seconds, by connection number.
+    service_s : float
+        Smoothed service time of a statement, in seconds.
     last_contact_at : float
-        When it last answered anything, in seconds.
+        Time of its last reply of any kind, in seconds.
     unreachable_since : float or None
-        Since when nothing has been heard although something was asked.
+        Time since which requests to it have failed, in seconds.
     position, position_at : LogPosition or None, float
-        End of its log as it last told, and when it told it.
+        End of its log as it last reported it, and the time of that report.
     behind, behind_at : LogPosition or None, float
-        A position it refused for, and when.
+        Position that its log lacked at the last such refusal, and the time of that.
     leaving_since : float or None
-        When this box learned that it is about to end.
+        Time at which this box received the announcement that it is about to stop.
     missing_since : float or None
-        Since when it is missing from the list of registered endpoints.
+        Time since which it is missing from the list of registered endpoints.
     """
 
     entry: EndpointEntry
@@ -82,32 +85,32 @@
 
     @property
     def is_listed(self) -> bool:
-        """Whether its entry stood in the newest list known."""
+        """Whether the newest list contains it."""
         return not self.gone and self.missing_since is None
 
     @property
     def may_need_successor(self) -> bool:
-        """Whether it is silent or about to end, so that a group that it leads needs another."""
+        """Whether it is unreachable or about to stop: a group that it leads needs a successor."""
         return self.unreachable_since is not None or self.leaving_since is not None
 
     def may_still_lead(self, now: float) -> bool:
-        """Return whether a primary that is about to end may still be sent statements."""
+        """Return whether statements may still be sent to a primary that may be leaving."""
         if self.leaving_since is None:
             return True
         return now - self.leaving_since < self.entry.leaving_serves_s - LEAVING_MARGIN_S
 
     def is_presumed_removed(self, now: float) -> bool:
-        """Return whether it is missing from the list for good."""
+        """Return whether it has been missing from the list for long enough to count as removed."""
         if self.missing_since is None:
             return False
         return self.leaving_since is not None or now - self.missing_since >= MISSING_GONE_S
 
     def take_entry(self, entry: EndpointEntry) -> bool:
-        """Take in its entry; return whether another process of the same name started since."""
+        """Replace its entry; return whether its process was restarted since the last one."""
         before, self.entry = self.entry, entry
         if None in (before.started_ms, entry.started_ms) or before.started_ms == entry.started_ms:
             return False
-        # What the process before held, told and owed says nothing of this one.
+        # The state of the former process does not apply to the new one.
         self.outstanding.clear()
         self.position = self.behind = None
         self.unreachable_since = None
@@ -115,18 +118,18 @@
         return True
 
     def sent(self, connection: int, now: float) -> None:
-        """Note that an answer is owed on ``connection``."""
+        """Record that a reply is outstanding on ``connection``."""
         self.outstanding[connection] = now
 
     def answered(
         self, connection: int, now: float, position: LogPosition | None, *, works: bool = True
     ) -> None:
-        """Note an answer and the log position that came with it.
+        """Record a reply and the log position that it carried.
 
         Parameters
         ----------
         works : bool
-            Whether it answers a caller's statement, so that its time counts.
+            Whether it answers a caller's statement and so counts for the service time.
         """
         sent_at = self.outstanding.pop(connection, None)
         self.heard(now, position)
@@ -134,7 +137,7 @@
             self.service_s += SERVICE_WEIGHT * (now - sent_at - self.service_s)
 
     def heard(self, now: float, position: LogPosition | None = None) -> None:
-        """Note that it is alive."""
+        """Record a contact and the log position that came with it."""
         self.last_contact_at = now
         self.unreachable_since = None
         if position is not None:
@@ -142,29 +145,29 @@
             self.position_at = now
 
     def given_up(self, connection: int, now: float) -> None:
-        """Note that an answer owed did not come, or not in time."""
+        """Record that an outstanding reply was lost or timed out."""
         sent_at = self.outstanding.pop(connection, now)
         if self.last_contact_at <= sent_at:
             self.failed(sent_at)
 
     def failed(self, since: float) -> None:
-        """Note that it could not be reached, as of ``since``."""
+        """Record that it has been unreachable since ``since`` (seconds)."""
         if self.unreachable_since is None:
             self.unreachable_since = since
 
     def refused_as_behind(self, position: LogPosition, now: float) -> None:
-        """Note that its log lacked ``position``."""
+        """Record a refusal because its log lacked ``position``."""
         self.behind = position
         self.behind_at = now
 
     def is_silent(self, now: float) -> bool:
-        """Return whether an answer is owed for so long that it may be dead."""
+        """Return whether a reply is outstanding for so long that it counts as unresponsive."""
         if not self.outstanding:
             return False
-        limit = max(SILENCE_FLOOR_S, SILENCE_FACTOR * self.service_s)
+        limit_s = max(SILENCE_FLOOR_S, SILENCE_FACTOR * self.service_s)
         oldest = min(self.outstanding.values())
-        return self.last_contact_at <= oldest and now - oldest > limit
+        return self.last_contact_at <= oldest and now - oldest > limit_s
 
     def is_suspect(self, now: float) -> bool:
-        """Return whether nothing new should be sent to it if another will do."""
+        """Return whether other endpoints should be preferred for new statements."""
         return self.unreachable_since is not None or self.is_silent(now)
--- a/wharftiller/core/sessions/isolation.py
+++ b/wharftiller/core/sessions/isolation.py
@@ -1,12 +1,12 @@
-"""When a box parted from most primaries sends its callers elsewhere, and for how long.
-
-In a data centre that a cut parts from most groups' primaries, writes to them are
-refused, and reads too once nothing known is new enough. Boxes on the primaries' side
-still serve. A box that cannot use most primaries, and hears no box of the data centres
-where those stand, is isolated: it tells the balancer that it takes no new sessions,
-until one of those boxes answers or they have been silent for so long that they may be
-dead. Once the balancer has seen that, the sessions at rest that it cannot serve are
-closed: they open again elsewhere. All others are served as far as it can.
+"""Isolation of a box that a network partition separates from most primaries.
+
+On the minority side of a partition, writes are refused, and reads too once no known log
+position is recent enough; boxes on the primaries' side still serve. A box that can use no
+primary of most groups, and reaches no box in those primaries' data centres, is isolated: it
+reports itself unready to the balancer until one of those boxes answers, or until they have
+been unresponsive for so long that they may be dead. Once the balancer has reacted, the box
+closes the idle sessions that it cannot serve, so that they reconnect elsewhere. It keeps
+serving all others as far as it can.
 """
 
 from __future__ import annotations
@@ -19,40 +19,42 @@
     from collections.abc import Collection, Mapping
 
 UNUSABLE_FRACTION = 0.5
-"""A box is isolated only if more than this part of the groups' primaries is beyond a cut.
+"""A box is isolated only if more than this fraction of the primaries is beyond a partition.
 
-Of two sides of a cut at most one is short of more than half of them.
+At most one side of a partition lacks more than half of them.
 """
 
 BALANCER_SEES_S = 2.3
-"""Time until the balancer has taken an unready box out, in seconds: two missed looks, 1 s apart."""
+"""Time until the balancer has removed an unready box, in seconds: two failed health checks, 1 s
+apart."""
 
 MAX_ISOLATED_S = 6.0
-"""Time for which a box that lists boxes of a further data centre stays isolated, in seconds.
+"""Maximum duration of isolation for a box that reaches a further data centre, in seconds.
 
-The silent side may be dead instead of cut off; by then (2 s and the leases of 6 s, from
-the cut on) its primaries are being replaced on this side.
+The unresponsive side may be dead instead of partitioned; by then (2 s and the leases of 6 s
+after the cut) its primaries are failing over to this side.
 """
 
 
 @attrs.frozen
 class IsolationInputs:
-    """What a box knows when it decides.
+    """Inputs of a decision on isolation.
 
     Attributes
     ----------
     now : float
-        In seconds.
+        Current time, in seconds.
     groups : int
-        How many groups there are.
+        Number of groups.
     unusable : frozenset of str
         Groups to whose primary nothing can be sent now.
     away : mapping of str to str
-        Of those, the groups whose primary stands in another data centre, and in which.
+        Data centre of the primary, for those unusable groups whose primary is in another data
+        centre.
     elsewhere : frozenset of str
         The other data centres that list boxes.
     silent : frozenset of str
-        Of the data centres asked, those of which no box answers.
+        The probed data centres in which no box answers.
     """
 
     now: float
@@ -62,35 +64,35 @@
     elsewhere: frozenset[str]
     silent: frozenset[str] = frozenset()
 
-    def are_most(self, groups: Collection[str]) -> bool:
-        """Return whether ``groups`` are more than a box can do without."""
+    def is_majority(self, groups: Collection[str]) -> bool:
+        """Return whether ``groups`` exceed `UNUSABLE_FRACTION` of all groups."""
         return len(groups) > UNUSABLE_FRACTION * self.groups
 
 
 @attrs.frozen
 class Unchanged:
-    """Nothing changes."""
+    """Keep the present state."""
 
 
 @attrs.frozen
 class Begin:
-    """Be isolated from the data centres ``silent``."""
+    """Isolate the box from the data centres ``silent``."""
 
     silent: frozenset[str]
 
 
 @attrs.frozen
 class End:
-    """Take new sessions again."""
+    """End the isolation and accept new sessions again."""
 
 
 @attrs.frozen
 class ShedSessions:
-    """Close the sessions of ``groups`` that rest now.
+    """Close the idle sessions of ``groups``.
 
-    Once only: long sessions stay where they open again, and the boxes that then hold most of
-    them answer late when they restart.
-    Those that are busy now stay: fewer would be refused, but more answered late or cut.
+    Only once in an isolation: long sessions stay where they reconnect, and boxes that hold most
+    of them answer late when they restart. Busy sessions stay, since closing them would cut or
+    delay their statements.
     """
 
     groups: frozenset[str]
@@ -101,18 +103,18 @@
 
 @attrs.define
 class Isolation:
-    """Whether a box is isolated.
+    """State of a box's isolation.
 
     Attributes
     ----------
     since : float or None
-        Since when it is, in seconds.
+        Start of the isolation, in seconds; None if the box is not isolated.
     silent : frozenset of str
-        The data centres it was isolated from.
+        The unresponsive data centres that caused it.
     given_up : bool
-        Whether they stayed silent for so long that they are waited for no more.
+        Whether it ended by `MAX_ISOLATED_S` while they were still unresponsive.
     sent_away : bool
-        Whether sessions were sent away since it is isolated.
+        Whether sessions were shed in this isolation.
     """
 
     since: float | None = None
@@ -120,38 +122,38 @@
     given_up: bool = False
     sent_away: bool = False
 
-    def centres_to_ask(self, view: IsolationInputs) -> frozenset[str]:
-        """Return the data centres whose silence decides."""
+    def centres_to_ask(self, inputs: IsolationInputs) -> frozenset[str]:
+        """Return the data centres to probe before `decide`."""
         if self.since is not None:
-            return view.elsewhere
-        return frozenset(view.away.values()) if view.are_most(view.away) else frozenset()
+            return inputs.elsewhere
+        return frozenset(inputs.away.values()) if inputs.is_majority(inputs.away) else frozenset()
 
-    def decide(self, view: IsolationInputs) -> Step:
-        """Return what to do, and take it as done."""
+    def decide(self, inputs: IsolationInputs) -> Step:
+        """Return the next step, and record it as done."""
         if self.since is None:
-            return self._decide_to_begin(view)
-        return self._decide_to_end(view, self.since)
+            return self._decide_to_begin(inputs)
+        return self._decide_to_end(inputs, self.since)
 
-    def _decide_to_begin(self, view: IsolationInputs) -> Step:
-        if not view.are_most(view.away) or not view.silent:
+    def _decide_to_begin(self, inputs: IsolationInputs) -> Step:
+        if not inputs.is_majority(inputs.away) or not inputs.silent:
             self.given_up = False
-        beyond_cut = [group for group, centre in view.away.items() if centre in view.silent]
-        if self.given_up or not view.are_most(beyond_cut):
+        beyond_cut = [group for group, centre in inputs.away.items() if centre in inputs.silent]
+        if self.given_up or not inputs.is_majority(beyond_cut):
             return Unchanged()
-        self.since = view.now
-        self.silent = view.silent
+        self.since = inputs.now
+        self.silent = inputs.silent
         self.sent_away = False
-        return Begin(view.silent)
-
-    def _decide_to_end(self, view: IsolationInputs, since: float) -> Step:
-        still = self.silent <= view.silent
-        hears_others = bool(view.elsewhere - view.silent)
-        time_out = view.now - since > MAX_ISOLATED_S
-        if not still or (hears_others and time_out):
-            self.given_up = still
+        return Begin(inputs.silent)
+
+    def _decide_to_end(self, inputs: IsolationInputs, since: float) -> Step:
+        is_still_silent = self.silent <= inputs.silent
+        reaches_others = bool(inputs.elsewhere - inputs.silent)
+        has_expired = inputs.now - since > MAX_ISOLATED_S
+        if not is_still_silent or (reaches_others and has_expired):
+            self.given_up = is_still_silent
             self.since = None
             return End()
-        if self.sent_away or view.now - since < BALANCER_SEES_S:
+        if self.sent_away or inputs.now - since < BALANCER_SEES_S:
             return Unchanged()
         self.sent_away = True
-        return ShedSessions(view.unusable)
+        return ShedSessions(inputs.unusable)
--- a/wharftiller/core/sessions/routes.py
+++ b/wharftiller/core/sessions/routes.py
@@ -1,4 +1,4 @@
-"""What operators configured for callers' sessions: routes by database name."""
+"""Operators' configuration of sessions: routes, limits of groups, endpoints."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @attrs.frozen
 class BoundedReads:
-    """Reads may miss what was acknowledged within the last ``max_age_s`` seconds."""
+    """Reads may miss writes acknowledged within the last ``max_age_s`` seconds."""
 
     max_age_s: float
 
 
 @attrs.frozen
 class OwnWritesReads:
-    """Like `BoundedReads`, and a session always sees what it wrote itself."""
+    """Like `BoundedReads`, and a session always sees its own writes."""
 
     max_age_s: float
 
@@ -37,13 +37,13 @@
     Attributes
     ----------
     timeout_s : float
-        Time one statement may take, in seconds.
+        Deadline of one statement, in seconds after its arrival.
     latency_goal_s : float
         Time within which an operation should be answered, in seconds.
     priority : int
-        0 goes first.
+        Priority in queues; 0 is the most urgent.
     needs_no_key : bool
-        Whether callers without a workspace's key are served as well.
+        Whether callers without a workspace's key are served.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class GroupLimits:
-    """What one group's endpoints accept.
+    """Limits of one group's endpoints.
 
     Attributes
     ----------
@@ -80,11 +80,11 @@
     Attributes
     ----------
     transaction_idle_s : float
-        A transaction that rests longer may be ended.
+        Time after which an idle transaction may be ended, in seconds.
     workspaces : WorkspaceDirectory or None
         None where callers need no keys.
     document : dict or None
-        As received, with digests in place of keys, to hand to other boxes.
+        The document as received, with digests in place of keys, for other boxes to fetch.
     """
 
     version: int = 0
@@ -97,19 +97,19 @@
 
 @attrs.frozen
 class EndpointEntry:
-    """One endpoint as it registered itself.
+    """An endpoint's own registration.
 
     Attributes
     ----------
     leads : bool
-        Whether it takes itself for the primary.
+        Whether it reports itself as the primary.
     leaving : bool
-        Whether it is about to end.
+        Whether it is about to stop.
     leaving_serves_s : float
-        For how long it goes on serving once it has said so, in seconds.
+        Time for which it goes on serving once it has announced that, in seconds.
     started_ms : int or None
-        When its process started, in milliseconds of the Unix clock; another one under the same
-        name knows nothing of what this one held. None if it does not say so.
+        Start time of its process, in milliseconds of the Unix clock: another process under the
+        same name does not have this one's state. None if it is not reported.
     """
 
     name: str
--- a/wharftiller/core/sessions/routing.py
+++ b/wharftiller/core/sessions/routing.py
@@ -1,8 +1,7 @@
-"""Which endpoint runs a read, and the log position that makes the read safe.
+"""Selection of the endpoint for a read, and of the log position that the read requires.
 
-A read carries the position that its endpoint's log must hold, and the endpoint
-itself refuses where its log falls short. What this box believes of a replica only
-decides whom to ask first.
+A read carries the position that its endpoint's log must hold, and the endpoint refuses the
+read if its log is shorter. The box's current view of the replicas only decides their order.
 """
 
 from __future__ import annotations
@@ -23,34 +22,33 @@
     from wharftiller.core.sessions.session import Session
 
 REPLICA_RETRY_S = 0.15
-"""Time after a refusal for being behind before the replica is asked for as much again.
+"""Time after a refusal for being behind before the same position is sent to the replica again,
+in seconds.
 
-A refusal costs a round trip; a replica that is spared for too long leaves its reads to the
-primary.
+A refusal costs a round trip; while the replica is skipped, its reads go to the primary.
 """
 
 POSITION_RECENT_S = 0.1
-"""A told log position stands for the present one for so long, in seconds."""
+"""Time for which a reported log position is taken as the current one, in seconds."""
 
 LEAD_COST = 2.0
-"""Statements that the primary is taken to run already: it alone serves writes.
+"""Load added to the primary, in statements, because it alone serves writes.
 
-More than `DISTANCE_COST`, so that lookups leave a near primary to the bookings while a
-replica elsewhere is idle.
+More than `DISTANCE_COST`, so that reads prefer an idle replica in another data centre to a
+primary in this one.
 """
 
 DISTANCE_COST = 1.5
-"""Statements that another data centre's endpoint is taken to run already.
+"""Load added to an endpoint in another data centre, in statements.
 
-What is run elsewhere crosses between data centres, which operators pay for by the byte; the
-way itself costs a tenth of a usual statement.
+Traffic between data centres is billed by the byte; its latency is a tenth of a usual
+statement.
 """
 
-
 OPENING_COST = 1.0
-"""Statements that an endpoint is taken to run already which has no idle connection for the caller.
+"""Load added to an endpoint without an idle connection for the caller, in statements.
 
-Opening one holds a slot there for 12 ms, a usual statement for 9 to 15.
+Opening a connection occupies a slot there for about as long as a usual statement.
 """
 
 
@@ -72,7 +70,7 @@
 
 
 def need_of_read(route: Route, session: Session, points: FreshPoints, begun_at: float) -> Need:
-    """Return what a read that began at ``begun_at`` (seconds) needs."""
+    """Return which endpoints may run a read that began at ``begun_at`` (seconds)."""
     if route.group in session.unsettled:
         return OnlyPrimary("the outcome of a write of this session is not known")
     match route.consistency:
@@ -91,43 +89,43 @@
 def replica_order(
     rows: Iterable[EndpointRow],
     position: LogPosition,
-    lead: str | None,
+    primary: str | None,
     data_centre: str,
-    busy: dict[str, int],
-    ready: Collection[str],
+    load: dict[str, int],
+    connected: Collection[str],
     now: float,
 ) -> list[EndpointRow]:
     """Return the endpoints that may hold ``position``, best first.
 
     Parameters
     ----------
-    lead : str or None
+    primary : str or None
         The primary's name.
-    busy : dict of str to int
-        Statements of this box that each endpoint runs or that wait for it.
-    ready : collection of str
+    load : dict of str to int
+        Statements of this box that run on each endpoint or wait for it.
+    connected : collection of str
         Endpoints to which an idle connection for the caller is open.
     """
-    usable = [row for row in rows if _may_hold(row, position, lead, now)]
+    usable = [row for row in rows if _may_hold(row, position, primary, now)]
 
     def cost(row: EndpointRow) -> tuple[float, bool, bool]:
-        leads = row.name == lead
+        is_primary = row.name == primary
         is_far = row.entry.data_centre != data_centre
-        load = busy.get(row.name, 0) + 1.0 + LEAD_COST * leads + DISTANCE_COST * is_far
-        load += OPENING_COST * (row.name not in ready)
-        return load * row.service_s, is_far, leads
+        statements = load.get(row.name, 0) + 1.0 + LEAD_COST * is_primary + DISTANCE_COST * is_far
+        statements += OPENING_COST * (row.name not in connected)
+        return statements * row.service_s, is_far, is_primary
 
     return sorted(usable, key=cost)
 
 
-def _may_hold(row: EndpointRow, position: LogPosition, lead: str | None, now: float) -> bool:
+def _may_hold(row: EndpointRow, position: LogPosition, primary: str | None, now: float) -> bool:
     if row.gone or row.is_suspect(now):
         return False
-    if row.name == lead:
+    if row.name == primary:
         return row.may_still_lead(now)
     if row.leaving_since is not None:
         return False
     if row.behind is not None and position >= row.behind and now - row.behind_at < REPLICA_RETRY_S:
         return False
-    recent = row.position is not None and now - row.position_at < POSITION_RECENT_S
-    return not (recent and row.position is not None and row.position < position)
+    is_recent = row.position is not None and now - row.position_at < POSITION_RECENT_S
+    return not (is_recent and row.position is not None and row.position < position)
--- a/wharftiller/tests/core/sessions/test_concurrency.py
+++ b/wharftiller/tests/core/sessions/test_concurrency.py
@@ -1,4 +1,4 @@
-"""How many statements run at once on an endpoint that is too busy at times."""
+"""Tests of the limit of statements at once on one endpoint."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
             limit.answered()
         assert limit.places(10) == 10
 
-    def test_refusals_of_one_moment_count_once(self) -> None:
+    def test_refusals_in_quick_succession_count_once(self) -> None:
         limit = ConcurrencyLimit()
         limit.busy(10, 1.0)
         limit.busy(10, 1.0 + DECREASE_PAUSE_S / 2)
--- a/wharftiller/tests/core/sessions/test_endpoints.py
+++ b/wharftiller/tests/core/sessions/test_endpoints.py
@@ -1,4 +1,4 @@
-"""What is known of an endpoint, and what holds no longer once its process is another."""
+"""Tests of an endpoint's state, and of its reset when the endpoint's process restarts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def row() -> EndpointRow:
-    """Return an endpoint that told its position, refused one, and owes an answer."""
+    """Return an endpoint that reported a position, lacks another, and has a reply outstanding."""
     row = EndpointRow(ENTRY)
     row.sent(1, 0.0)
     row.answered(1, 0.5, LogPosition(3, 7))
@@ -23,14 +23,14 @@
     return row
 
 
-class TestStartedAgain:
-    def test_nothing_known_of_the_process_before_holds(self, row: EndpointRow) -> None:
+class TestRestart:
+    def test_a_restart_resets_the_state(self, row: EndpointRow) -> None:
         assert row.take_entry(attrs.evolve(ENTRY, started_ms=2_000))
         assert (row.position, row.behind, row.outstanding) == (None, None, {})
         assert row.service_s == FIRST_SERVICE_S
 
     @pytest.mark.parametrize("started_ms", [1_000, None])
-    def test_the_same_process_keeps_what_is_known(
+    def test_the_same_process_keeps_its_state(
         self, row: EndpointRow, started_ms: int | None
     ) -> None:
         assert not row.take_entry(attrs.evolve(ENTRY, leaving=True, started_ms=started_ms))
--- a/wharftiller/tests/core/sessions/test_gateways.py
+++ b/wharftiller/tests/core/sessions/test_gateways.py
@@ -1,4 +1,4 @@
-"""How scarce connections are dealt out: every box by itself, or a few homes for all."""
+"""Tests of the distribution of connections: over all boxes, or over a few gateways."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class TestKept:
     @pytest.mark.parametrize(("limit", "boxes"), [(23, 9), (38, 8), (283, 72), (53, 6)])
     def test_as_many_connections_are_free_as_are_kept(self, limit: int, boxes: int) -> None:
-        """Those of boxes that lost power linger while all boxes connect again."""
+        """Connections of boxes that lost power stay open while all boxes reconnect."""
         assert connection_share(limit, boxes) * boxes * KEPT_DIVISOR <= limit
 
 
@@ -30,7 +30,7 @@
     @pytest.mark.parametrize("limit", [10, 23, 53, 100])
     @pytest.mark.parametrize("boxes", [71, 300, 1000])
     @pytest.mark.parametrize("centres", [1, 3, 5])
-    def test_where_there_are_too_few_homes_keep_within_the_limit(
+    def test_where_there_are_too_few_gateways_keep_within_the_limit(
         self, limit: int, boxes: int, centres: int
     ) -> None:
         plan = plan_gateways(limit, boxes, centres)
@@ -39,7 +39,7 @@
         else:
             assert plan.share * plan.gateways * centres <= limit
 
-    def test_homes_are_the_same_for_every_box_and_differ_by_group(self) -> None:
+    def test_gateways_are_the_same_for_every_box_and_differ_by_group(self) -> None:
         names = [f"box-{number}" for number in range(24)]
         plan = plan_gateways(53, 72, 3)
         assert plan.gateways == 2
--- a/wharftiller/tests/core/sessions/test_isolation.py
+++ b/wharftiller/tests/core/sessions/test_isolation.py
@@ -1,4 +1,4 @@
-"""When a box counts itself as isolated, without boxes."""
+"""Tests of when a box is isolated, and of the sessions that it sheds then."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 class TestBegin:
     @pytest.mark.parametrize(
-        "view",
+        "inputs",
         [
             attrs.evolve(CUT_OFF, groups=4),
             attrs.evolve(CUT_OFF, silent=frozenset({"b"})),
@@ -48,26 +48,28 @@
         ],
         ids=["half", "some-answer", "all-answer", "one-stands-here"],
     )
-    def test_only_most_primaries_beyond_a_silence_count(self, view: IsolationInputs) -> None:
-        assert Isolation().decide(view) == Unchanged()
+    def test_it_begins_only_if_most_primaries_are_out_of_reach(
+        self, inputs: IsolationInputs
+    ) -> None:
+        assert Isolation().decide(inputs) == Unchanged()
 
-    def test_nobody_is_asked_while_most_can_be_used(self) -> None:
+    def test_no_data_centre_is_probed_while_most_primaries_can_be_used(self) -> None:
         assert not Isolation().centres_to_ask(attrs.evolve(CUT_OFF, groups=4))
         assert Isolation().centres_to_ask(CUT_OFF) == {"b", "c"}
 
 
 class TestEnd:
-    def test_it_ends_once_one_of_them_answers(self) -> None:
+    def test_it_ends_once_one_data_centre_answers(self) -> None:
         isolation = isolated()
         assert isolation.decide(later(1.0, silent=frozenset({"b"}))) == End()
         assert isolation.since is None
 
-    def test_where_all_are_silent_it_lasts(self) -> None:
+    def test_it_lasts_while_all_data_centres_are_silent(self) -> None:
         isolation = isolated()
         assert isinstance(isolation.decide(later(MAX_ISOLATED_S + 1)), ShedSessions)
         assert isolation.decide(later(MAX_ISOLATED_S + 9)) == Unchanged()
 
-    def test_who_hears_a_further_data_centre_waits_only_a_while(self) -> None:
+    def test_it_expires_where_a_further_data_centre_is_reached(self) -> None:
         isolation = isolated()
         further = frozenset({"b", "c", "d"})
         assert isolation.decide(later(MAX_ISOLATED_S + 1, elsewhere=further)) == End()
@@ -75,7 +77,7 @@
 
 
 class TestSessions:
-    def test_they_are_sent_away_once_when_the_balancer_knows(self) -> None:
+    def test_they_are_shed_once_when_the_balancer_has_reacted(self) -> None:
         isolation = isolated()
         assert isolation.decide(later(BALANCER_SEES_S - 0.1)) == Unchanged()
         assert isolation.decide(later(BALANCER_SEES_S + 0.1)) == ShedSessions(CUT_OFF.unusable)
--- a/wharftiller/tests/core/sessions/test_routing.py
+++ b/wharftiller/tests/core/sessions/test_routing.py
@@ -1,4 +1,4 @@
-"""Which endpoint a read goes to, and what it must hold."""
+"""Tests of the endpoint that a read goes to, and of the log position that it requires."""
 
 from __future__ import annotations
 
@@ -77,18 +77,18 @@
     def order(
         self,
         rows: list[EndpointRow],
-        busy: dict[str, int],
+        load: dict[str, int],
         now: float = 10.0,
-        ready: Collection[str] = ("one", "two", "three"),
+        connected: Collection[str] = ("one", "two", "three"),
     ) -> list[str]:
-        found = replica_order(rows, LogPosition(1, 5), "one", "a", busy, ready, now)
+        found = replica_order(rows, LogPosition(1, 5), "one", "a", load, connected, now)
         return [each.name for each in found]
 
     def test_replicas_go_before_the_primary_and_the_idle_before_the_busy(self) -> None:
         rows = [row("one"), row("two"), row("three")]
         assert self.order(rows, {"two": 1}) == ["three", "two", "one"]
 
-    def test_the_primary_is_used_when_replicas_are_crowded(self) -> None:
+    def test_the_primary_is_used_when_replicas_are_loaded(self) -> None:
         rows = [row("one"), row("two"), row("three")]
         assert self.order(rows, {"two": 4, "three": 4})[0] == "one"
 
@@ -107,14 +107,14 @@
 
     def test_an_open_connection_is_worth_a_statement_of_waiting(self) -> None:
         rows = [row("one"), row("two"), row("three")]
-        assert self.order(rows, {}, ready=["two"])[0] == "two"
-        assert self.order(rows, {"two": 2}, ready=["two"])[0] == "three"
+        assert self.order(rows, {}, connected=["two"])[0] == "two"
+        assert self.order(rows, {"two": 2}, connected=["two"])[0] == "three"
 
     def test_none_is_opened_elsewhere_while_a_near_one_is_open(self) -> None:
         rows = [row("one"), row("two", "b"), row("three")]
-        assert self.order(rows, {"three": 2}, ready=["three"])[0] == "three"
+        assert self.order(rows, {"three": 2}, connected=["three"])[0] == "three"
 
-    def test_one_known_to_be_behind_is_passed_over_for_a_moment(self) -> None:
+    def test_one_known_to_be_behind_is_skipped_for_a_moment(self) -> None:
         behind = row("two")
         behind.refused_as_behind(LogPosition(1, 5), 9.95)
         assert "two" not in self.order([row("one"), behind], {})
@@ -128,7 +128,7 @@
 
 
 class TestEndpoint:
-    def test_silence_needs_an_answer_owed_for_long(self) -> None:
+    def test_it_is_unresponsive_once_an_answer_is_outstanding_for_long(self) -> None:
         endpoint = row("two")
         assert not endpoint.is_suspect(100.0)
         endpoint.sent(1, 100.0)
@@ -137,14 +137,14 @@
         endpoint.answered(1, 101.0, None)
         assert not endpoint.is_suspect(102.0)
 
-    def test_an_answer_to_another_statement_shows_life(self) -> None:
+    def test_an_answer_to_another_statement_shows_that_it_responds(self) -> None:
         endpoint = row("two")
         endpoint.sent(1, 100.0)
         endpoint.sent(2, 100.1)
         endpoint.answered(2, 100.5, None)
         assert not endpoint.is_suspect(101.0)
 
-    def test_a_missing_entry_stands_for_a_while(self) -> None:
+    def test_a_missing_entry_is_kept_for_a_while(self) -> None:
         endpoint = row("two")
         endpoint.missing_since = 10.0
         assert not endpoint.is_presumed_removed(10.0 + MISSING_GONE_S - 0.1)
--- a/wharftiller/tests/core/sessions/test_wait_limits.py
+++ b/wharftiller/tests/core/sessions/test_wait_limits.py
@@ -1,4 +1,4 @@
-"""How long a statement waits for a place, by when it came."""
+"""Tests of the limit of a statement's wait for capacity."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
         assert limit.begun_until == pytest.approx(10.0 + QUEUED_FRACTION * GOAL_S)
         assert limit.until == pytest.approx(10.0 + GOAL_S)
 
-    def test_what_it_waited_elsewhere_counts(self) -> None:
+    def test_time_waited_elsewhere_counts(self) -> None:
         waited = wait_limit(arrived_at=10.0, goal_s=GOAL_S, now=10.05)
         assert waited == wait_limit(arrived_at=10.0, goal_s=GOAL_S, now=10.0)
 
-    def test_who_was_held_for_long_waits_a_moment(self) -> None:
+    def test_a_statement_held_for_long_may_still_wait_a_moment(self) -> None:
         limit = wait_limit(arrived_at=10.0, goal_s=GOAL_S, now=11.0)
         assert limit.begun_until == limit.until == pytest.approx(11.0 + LATE_FRACTION * GOAL_S)
