--- a/wharftiller/core/sessions/__init__.py
+++ b/wharftiller/core/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' sessions as connections: statements, routes, endpoints, the choice among them."""
+"""Sessions of callers: statements, routes, endpoints, and the choice among endpoints."""
--- a/wharftiller/core/sessions/bounds.py
+++ b/wharftiller/core/sessions/bounds.py
@@ -1,4 +1,4 @@
-"""What the platform promises and asks of every deployment, in the project's own words."""
+"""Guarantees and requirements of the platform, as stated in the settings."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @attrs.frozen
 class PlatformBounds:
-    """Times that the operators' platform states in the settings.
+    """Bounds that the operators' platform states in the settings.
 
     Attributes
     ----------
     grace_s : float
-        Time between being told to stop and being killed, in seconds.
+        Time between the request to stop a process and its kill, in seconds.
     leaving_serves_s : float
-        For how long an endpoint that said it is leaving goes on serving, in seconds; work
-        that reaches it later may be lost.
+        Time for which an endpoint goes on serving after it announced that it is leaving, in
+        seconds; statements that reach it later may be lost.
     configuration_in_force_s : float
         Time within which an accepted configuration must be in force on every box, in seconds.
     allowances : AllowanceBounds
-        What the platform counts as more than a workspace's allowance.
+        Bounds within which a workspace's allowance must be enforced.
     """
 
     grace_s: float = 6.0
--- a/wharftiller/core/sessions/metrics.py
+++ b/wharftiller/core/sessions/metrics.py
@@ -1,4 +1,4 @@
-"""Counts of how statements ended and how long they took, cheap enough for each one."""
+"""Counters of statements by outcome and latency."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 import attrs
 
 LATENCY_BOUNDS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 2.5, 5.0)
-"""Upper bounds of the latency histogram, in seconds; the routes' goals (0.15 to 0.6) are bounds."""
+"""Upper bounds of the latency histogram, in seconds; they include the routes' usual goals."""
 
 
 @attrs.frozen
 class AnswerLabels:
-    """By what answers are counted.
+    """Labels by which answers are counted.
 
     Attributes
     ----------
     reading : str
-        The route's kind of reading.
+        The route's read consistency.
     statement : str
-        What kind of statement it was.
+        The kind of statement.
     outcome : str
-        ``done``, or the reason of the refusal.
+        ``done``, or the kind of refusal.
     """
 
     route: str
@@ -33,7 +33,7 @@
 
 @attrs.define
 class LatencyHistogram:
-    """Answers by the time they took."""
+    """Histogram of the time that answers took."""
 
     buckets: list[int] = attrs.field(factory=lambda: [0] * (len(LATENCY_BOUNDS_S) + 1))
     sum_s: float = 0.0
@@ -44,7 +44,7 @@
         self.sum_s += took_s
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Return the count of answers within each bound, as collectors want them."""
+        """Return the cumulative count of answers for each bound, as Prometheus expects it."""
         total = 0
         pairs = []
         for bound, count in zip((*LATENCY_BOUNDS_S, "+Inf"), self.buckets, strict=True):
@@ -55,12 +55,12 @@
 
 @attrs.define
 class ConnectionCounts:
-    """Connections of one endpoint.
+    """Counters of one endpoint's connections.
 
     Attributes
     ----------
     opened, replaced : int
-        Connections opened, and idle ones of other workspaces closed for them.
+        Connections opened, and idle connections of other workspaces closed in their favour.
     """
 
     opened: int = 0
@@ -69,20 +69,26 @@
 
 @attrs.define
 class SessionMetrics:
-    """Everything counted by one process.
+    """All counters of one process.
 
     Attributes
     ----------
+    answers : collections.Counter
+        Answers to callers, by their labels.
+    latency : dict of str to LatencyHistogram
+        Latency of answers, by read consistency.
     statements : collections.Counter
         Statements sent to endpoints, by endpoint and outcome.
     forwarded : collections.Counter
-        Statements passed to homes, by home and outcome.
-    connections : dict of str to ConnectionCounts
-        By endpoint.
+        Statements forwarded to gateways, by gateway and outcome.
     allowances : collections.Counter
-        Operations of workspaces with an allowance, by whether a token was asked for them in vain.
+        Token requests for workspaces' allowances, by outcome.
     doors : collections.Counter
-        Callers' connections, by what came of them at the door.
+        Callers' connections, by outcome of the admission.
+    connections : dict of str to ConnectionCounts
+        Counters of connections, by endpoint.
+    events : collections.Counter
+        Logged events, by name.
     """
 
     answers: collections.Counter[AnswerLabels] = attrs.field(factory=collections.Counter)
--- a/wharftiller/core/sessions/probe_outcomes.py
+++ b/wharftiller/core/sessions/probe_outcomes.py
@@ -1,4 +1,4 @@
-"""What came of a question to another box: what it says of whether that box still works."""
+"""Outcome of a request to another box, as evidence of whether that box is alive."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 
 class ProbeOutcome(enum.Enum):
-    """What came of a question.
+    """Outcome of a request to another box.
 
     Attributes
     ----------
+    ANSWERED
+        A reply was received.
     REFUSED
-        Nobody listens there: its process has ended.
+        The connection was refused: the box's process has ended.
     SILENT
-        No answer in time: the box may be slow, cut off or without power.
+        No reply in time: the box may be slow, partitioned or without power.
     """
 
     ANSWERED = "answered"
--- a/wharftiller/core/sessions/revisions.py
+++ b/wharftiller/core/sessions/revisions.py
@@ -1,4 +1,4 @@
-"""Account for the platform's changes: which revisions this box has seen, and which it missed."""
+"""Tracking of the platform's revisions, to detect changes that a watch did not deliver."""
 
 from __future__ import annotations
 
@@ -8,24 +8,23 @@
     from collections.abc import Iterable, Mapping
 
 MAX_COUNTED = 1_000
-"""Revisions gone through one by one; more of them at once count as missed."""
+"""Maximum of revisions compared one by one; a larger gap counts as missed."""
 
 
 class RevisionTracker:
-    """What is known of each revision of the platform since the last one settled.
+    """The revisions seen since the last settled one.
 
-    The platform raises one revision for every change of anything. Boxes that start and
-    stop raise it too, and whoever follows configuration and endpoints must not take that
-    for a change that its watches did not tell, and read both lists again for every box that
-    starts.
+    Every change of any object raises the platform's revision by one, also when boxes start and
+    stop. Watches of configuration and endpoints must not take these revisions for changes that
+    were not delivered, or both lists would be read again for every box that starts.
 
-    Every change has a revision of its own. So where the objects seen account for as many
-    revisions as there were, nothing else can have changed.
+    Since each change has a revision of its own, nothing was missed if the objects seen account
+    for as many revisions as there were.
 
     Attributes
     ----------
     settled : int
-        Revision up to which every change was seen or looked for.
+        Revision up to which no change is missing.
     """
 
     def __init__(self) -> None:
@@ -36,28 +35,28 @@
         self._removed = 0
 
     def saw(self, revisions: Iterable[int]) -> None:
-        """Note the revisions of objects that were read or told."""
+        """Record the revisions of objects that were read or delivered by a watch."""
         self._seen.update(revision for revision in revisions if revision > self.settled)
 
     def listed(self, entries: Mapping[str, int], revision: int) -> None:
-        """Note the revision of every entry of the boxes' own, as read at ``revision``."""
+        """Record the revision of every box's entry, as read at ``revision``."""
         self.saw(entries.values())
         if self._listed_at >= self.settled:
-            # Removed since the last list, so by a change that is not settled yet.
+            # Removed since the last list, which is not older than the settled revision.
             self._removed += len(self._entries.keys() - entries.keys())
         self._entries = entries
         self._listed_at = revision
 
     def misses(self, revision: int) -> bool:
-        """Return whether a change up to ``revision`` may be one that was not seen."""
+        """Return whether a change up to ``revision`` may have been missed."""
         changes = revision - self.settled
         if changes > MAX_COUNTED:
             return True
-        known = sum(1 for each in self._seen if self.settled < each <= revision)
-        return changes > known + self._removed
+        seen = sum(1 for each in self._seen if self.settled < each <= revision)
+        return changes > seen + self._removed
 
     def settle(self, revision: int) -> None:
-        """Take every change up to ``revision`` as seen or looked for."""
+        """Record that no change up to ``revision`` is missing."""
         if revision <= self.settled:
             return
         self.settled = revision
--- a/wharftiller/core/sessions/session.py
+++ b/wharftiller/core/sessions/session.py
@@ -1,4 +1,4 @@
-"""One caller's session: its values, prepared names and open transaction."""
+"""State of one caller's session: values, prepared statements and open transaction."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     box : str
         The box's name.
     identity : str
-        What that box knows the transaction by.
+        The transaction's identifier on that box.
     """
 
     box: str
@@ -35,13 +35,13 @@
     Attributes
     ----------
     begun_at, used_at : float
-        When it began and when its last statement was answered, in seconds.
+        Time of its begin, and of the answer to its last statement, in seconds.
     wrote : bool
-        Whether a write was sent on it.
+        Whether a write was sent in it.
     counted : bool
-        Whether a planned change of primary waits for its end.
+        Whether a planned failover waits for its end.
     remote : RemoteTransaction or None
-        Where it runs if another box runs it.
+        The transaction on another box, if a gateway runs it.
     """
 
     route: Route
@@ -57,19 +57,19 @@
 
 @attrs.define
 class Session:
-    """A caller's connection and everything that holds until it ends.
+    """State of a caller's connection, kept until the connection ends.
 
     Attributes
     ----------
     key_digest : str
-        Digest of the key that the caller named.
+        Digest of the key that the caller presented.
     workspace : Workspace or None
-        Whose it is, by the configuration that was in force when its last transaction or
-        single statement began; None where callers need no keys.
+        Its workspace by the configuration in force when its last transaction or autocommit
+        statement began; None where callers need no keys.
     own_writes : dict of str to LogPosition
-        Newest position this session wrote, per group.
+        Newest log position that this session wrote, by group.
     unsettled : set of str
-        Groups in which a write's outcome was not learned.
+        Groups in which the outcome of one of its writes is unknown.
     """
 
     number: int
@@ -89,7 +89,7 @@
 
     @property
     def state(self) -> SessionState:
-        """Where the session stands between statements."""
+        """State of the session between statements."""
         if self.transaction is None:
             return SessionState.IDLE
         if self.transaction.failed:
@@ -97,7 +97,7 @@
         return SessionState.IN_TRANSACTION
 
     def wrote(self, group: str, position: LogPosition | None) -> None:
-        """Note an acknowledged write."""
+        """Record the position of a write, or None where its outcome is unknown."""
         if position is None:
             self.unsettled.add(group)
         elif position > self.own_writes.get(group, NOWHERE):
--- a/wharftiller/core/sessions/statements.py
+++ b/wharftiller/core/sessions/statements.py
@@ -1,4 +1,4 @@
-"""What a session asks for, statement by statement, and what an endpoint replies."""
+"""Statements of sessions, and the replies to them."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 @attrs.frozen
 class Commit:
-    """End the transaction and keep what it wrote."""
+    """End the transaction and keep its writes."""
 
 
 @attrs.frozen
 class Rollback:
-    """End the transaction and keep nothing of it."""
+    """End the transaction and discard its writes."""
 
 
 @attrs.frozen
 class Direct:
-    """A read or write given whole in its text."""
+    """A read or write whose text is complete, without a prepared name."""
 
     access: Access
 
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class Prepare:
-    """Give a statement's shape a name for this session."""
+    """Prepare a statement under a name of this session."""
 
     name: str
     prepared: PreparedStatement
@@ -76,14 +76,14 @@
 
 @attrs.frozen
 class Deallocate:
-    """Forget a prepared name."""
+    """Drop a prepared name."""
 
     name: str
 
 
 @attrs.frozen
 class PreparedStatement:
-    """What a prepared name stands for."""
+    """A statement prepared under a name."""
 
     access: Access
     shape: str
@@ -91,12 +91,12 @@
 
 @attrs.frozen
 class Malformed:
-    """What the caller sent is no statement.
+    """Input of the caller that is not a valid statement.
 
     Attributes
     ----------
     why : str
-        What is wrong with it and what would do.
+        What is wrong with it and what is expected.
     """
 
     why: str
@@ -112,7 +112,7 @@
     Attributes
     ----------
     text : str
-        Passed on unchanged, but for a prepared name.
+        Passed on unchanged, except for a prepared name.
     """
 
     request_id: str
@@ -121,7 +121,7 @@
 
 
 class SessionState(enum.Enum):
-    """Where a session stands between statements."""
+    """State of a session between statements."""
 
     IDLE = "idle"
     IN_TRANSACTION = "in_transaction"
@@ -158,19 +158,19 @@
         RefusalKind.UNKNOWN_PREPARED,
     }
 )
-"""An endpoint that refuses so has not run the statement."""
+"""Kinds of refusal by which an endpoint states that it has not run the statement."""
 
 
 @attrs.frozen
 class Refusal:
-    """A statement that has no result.
+    """Refusal of a statement, which has no result.
 
     Attributes
     ----------
     detail : str
-        One sentence for the caller; says when to come back where that helps.
+        One sentence for the caller, with the retry-after time where a retry helps.
     cause : Cause or None
-        What stood in the way, where this or another box refused.
+        Why it did not run, where this or another box refused it.
     """
 
     kind: RefusalKind
@@ -179,25 +179,24 @@
 
     @property
     def has_not_run(self) -> bool:
-        """Whether the endpoint that said this did not run the statement."""
+        """Whether the endpoint that refused did not run the statement."""
         return self.kind in NOT_RUN
 
 
 @attrs.frozen
 class Reply:
-    """The whole answer to one statement.
+    """The reply to one statement.
 
     Attributes
     ----------
     rows : tuple of bytes
         As the endpoint sent them.
     proof : str or None
-        The endpoint's authentication code of a success; None where this box
-        answered by itself.
+        The endpoint's authentication code of a success; None if this box replied itself.
     position : LogPosition or None
-        End of the endpoint's log when it answered.
+        End of the endpoint's log at the reply.
     endpoint : str or None
-        Who answered; None where this box did.
+        Name of the endpoint that replied; None if this box replied itself.
     """
 
     state: SessionState
@@ -220,12 +219,12 @@
 
 @attrs.frozen
 class StatusQuery:
-    """Have an endpoint tell its role, term and log position."""
+    """Query an endpoint's role, term and log position."""
 
 
 @attrs.frozen
 class Demote:
-    """Turn a primary of a term below ``term`` into a replica."""
+    """Demote a primary of a term below ``term`` to a replica."""
 
     term: int
 
@@ -235,15 +234,15 @@
 
 @attrs.frozen
 class EndpointQuery:
-    """One statement to an endpoint.
+    """One request to an endpoint.
 
     Attributes
     ----------
     body : EndpointBody
     statement : Statement or None
-        The caller's, where the query carries one; its id and text go with it.
+        The caller's statement, if the request carries one; its id and text are sent along.
     after : LogPosition or None
-        The endpoint refuses unless its log holds this position.
+        Position that the endpoint's log must hold; the endpoint refuses otherwise.
     """
 
     body: EndpointBody
@@ -253,14 +252,14 @@
 
 @attrs.frozen
 class EndpointStatus:
-    """What an endpoint tells of itself.
+    """Status that an endpoint reports.
 
     Attributes
     ----------
     received : LogPosition
         End of the log that it has received, applied or not.
     connections : int
-        Connections it has from all boxes.
+        Open connections from all boxes.
     """
 
     leads: bool
--- a/wharftiller/core/sessions/workspaces.py
+++ b/wharftiller/core/sessions/workspaces.py
@@ -1,7 +1,7 @@
-"""Who asks: workspaces, the keys that stand for them, and whose a session is.
+"""Workspaces, their keys, and the workspace of a session.
 
-Keys are secrets. They are kept and looked up by their digests; a key itself leaves the
-adapter that read it towards nobody.
+Keys are secrets: they are stored and looked up by their digests, and a key itself never leaves
+the adapter that read it.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 """Length of a key's digest: 128 bits, so that no two keys of a configuration share one."""
 
 FINGERPRINT_BYTES = 4
-"""Length of what logs tell of a key: enough to tell keys apart, far too short to be one."""
+"""Length of a key's fingerprint in logs: enough to distinguish keys, too short to reveal one."""
 
 
 @attrs.frozen
 class Allowance:
-    """How many operations a workspace may run, over all boxes.
+    """Rate limit of a workspace's operations, over all boxes.
 
     Attributes
     ----------
     rate_per_s : float
-        Operations a second, in the long run.
+        Sustained rate, in operations per second.
     burst : float
-        Operations beyond that at once.
+        Operations beyond that rate that may run at once.
     """
 
     rate_per_s: float
@@ -48,7 +48,7 @@
     Attributes
     ----------
     allowance : Allowance or None
-        None where nothing limits it.
+        None if its rate is not limited.
     """
 
     name: str
@@ -56,13 +56,13 @@
 
 
 def digest_of_key(key: str) -> str:
-    """Return what a key is kept and looked up by."""
+    """Return the digest by which a key is stored and looked up."""
     encoded = key.encode(errors="surrogateescape")
     return hashlib.blake2b(encoded, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def fingerprint(digest: str) -> str:
-    """Return what logs tell of a key with this digest."""
+    """Return the fingerprint that logs show for a key with this digest."""
     return hashlib.blake2b(
         digest.encode(), digest_size=FINGERPRINT_BYTES, person=b"log"
     ).hexdigest()
@@ -94,7 +94,7 @@
             if other is not workspace:
                 raise ConfigurationError(
                     f"workspaces {other.name!r} and {workspace.name!r} share the key with"
-                    f" fingerprint {fingerprint(digest)}; take it away from one of them"
+                    f" fingerprint {fingerprint(digest)}; remove it from one of them"
                 )
 
     def __len__(self) -> int:
@@ -118,7 +118,7 @@
 
 @attrs.frozen
 class Anonymous:
-    """The session needs no workspace: the route or the whole deployment asks for no key."""
+    """The session needs no workspace: the route or the deployment requires no key."""
 
 
 @attrs.frozen
@@ -130,7 +130,7 @@
 
 
 def identify(directory: WorkspaceDirectory | None, route: Route, digest: str) -> Identity:
-    """Return whose a session on ``route`` is that names the key with this digest.
+    """Return the identity of a session on ``route`` that presents the key with this digest.
 
     Parameters
     ----------
--- a/wharftiller/tests/core/sessions/test_revisions.py
+++ b/wharftiller/tests/core/sessions/test_revisions.py
@@ -1,4 +1,4 @@
-"""Changes of the platform that this box has seen, and those that it missed."""
+"""Tests of the detection of changes that a watch of the platform did not deliver."""
 
 from __future__ import annotations
 
@@ -6,50 +6,50 @@
 
 
 def settled_at(revision: int, **entries: int) -> RevisionTracker:
-    account = RevisionTracker()
-    account.listed(entries, revision)
-    account.settle(revision)
-    return account
+    tracker = RevisionTracker()
+    tracker.listed(entries, revision)
+    tracker.settle(revision)
+    return tracker
 
 
-class TestRevisionAccount:
-    def test_a_first_look_misses_everything(self) -> None:
+class TestRevisionTracker:
+    def test_every_revision_is_missed_at_first(self) -> None:
         assert RevisionTracker().misses(7)
 
     def test_boxes_that_start_are_accounted_for(self) -> None:
-        account = settled_at(7, box1=6)
-        account.listed({"box1": 6, "box2": 8, "box3": 9}, 9)
-        assert not account.misses(9)
+        tracker = settled_at(7, box1=6)
+        tracker.listed({"box1": 6, "box2": 8, "box3": 9}, 9)
+        assert not tracker.misses(9)
 
     def test_boxes_that_leave_are_accounted_for(self) -> None:
-        account = settled_at(7, box1=6, box2=7)
-        account.listed({"box1": 6, "box3": 9}, 9)
-        assert not account.misses(9)
+        tracker = settled_at(7, box1=6, box2=7)
+        tracker.listed({"box1": 6, "box3": 9}, 9)
+        assert not tracker.misses(9)
 
     def test_a_change_between_them_is_missed(self) -> None:
-        account = settled_at(7, box1=6)
-        account.listed({"box1": 6, "box2": 9}, 9)
-        assert account.misses(9)
+        tracker = settled_at(7, box1=6)
+        tracker.listed({"box1": 6, "box2": 9}, 9)
+        assert tracker.misses(9)
 
-    def test_what_a_watch_tells_is_accounted_for(self) -> None:
-        account = settled_at(7, box1=6)
-        account.listed({"box1": 6, "box2": 9}, 9)
-        account.saw([8])
-        assert not account.misses(9)
+    def test_what_a_watch_delivers_is_accounted_for(self) -> None:
+        tracker = settled_at(7, box1=6)
+        tracker.listed({"box1": 6, "box2": 9}, 9)
+        tracker.saw([8])
+        assert not tracker.misses(9)
 
     def test_an_entry_changed_twice_hides_nothing(self) -> None:
-        account = settled_at(7, box1=6)
-        account.listed({"box1": 9}, 9)
-        assert account.misses(9)
+        tracker = settled_at(7, box1=6)
+        tracker.listed({"box1": 9}, 9)
+        assert tracker.misses(9)
 
     def test_a_removal_before_what_is_settled_hides_nothing_after_it(self) -> None:
-        account = settled_at(7, box1=6, box2=5)
-        account.settle(9)
-        account.listed({"box1": 6}, 10)
-        assert account.misses(10)
+        tracker = settled_at(7, box1=6, box2=5)
+        tracker.settle(9)
+        tracker.listed({"box1": 6}, 10)
+        assert tracker.misses(10)
 
     def test_a_jump_counts_as_missed(self) -> None:
-        account = settled_at(7)
+        tracker = settled_at(7)
         revision = 8 + MAX_COUNTED
-        account.saw(range(8, revision + 1))
-        assert account.misses(revision)
+        tracker.saw(range(8, revision + 1))
+        assert tracker.misses(revision)
--- a/wharftiller/tests/core/sessions/test_state_versions.py
+++ b/wharftiller/tests/core/sessions/test_state_versions.py
@@ -1,4 +1,4 @@
-"""Whether a box has something to learn from another."""
+"""Tests of whether another box has newer state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 ]
 
 
-class TestKnowledge:
+class TestStateVersions:
     @pytest.mark.parametrize(
         ("changes", "configuration", "endpoints"),
         [
@@ -34,7 +34,7 @@
         assert MINE.lacks_endpoints(theirs) is endpoints
         assert MINE.lacks(theirs) is (configuration or endpoints)
 
-    def test_it_passes_between_boxes(self) -> None:
+    def test_json_round_trip(self) -> None:
         assert StateVersions.from_json(MINE.to_json()) == MINE
 
     @pytest.mark.parametrize("value", [None, [], [1, 2], [1, 2, "x"], "123456", {"version": 1}])
--- a/wharftiller/tests/core/sessions/test_workspaces.py
+++ b/wharftiller/tests/core/sessions/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Whose a session is, by its key."""
+"""Tests of the workspace of a session, by its key."""
 
 from __future__ import annotations
 
@@ -38,26 +38,26 @@
             (False, False, "garbage", Anonymous()),
         ],
     )
-    def test_whose_a_session_is(
+    def test_the_key_decides_the_identity(
         self, listed: bool, needs_no_key: bool, key: str, expected: object
     ) -> None:
         route = attrs.evolve(ROUTE, needs_no_key=needs_no_key)
         known = directory() if listed else None
         assert identify(known, route, digest_of_key(key)) == expected
 
-    def test_a_directory_of_nobody_serves_nobody(self) -> None:
+    def test_an_empty_directory_knows_no_key(self) -> None:
         assert identify(WorkspaceDirectory(), ROUTE, digest_of_key(KEY)) == UnknownKey()
 
 
 class TestDirectory:
-    def test_a_key_of_two_workspaces_refuses_the_whole(self) -> None:
+    def test_a_directory_with_a_shared_key_is_rejected(self) -> None:
         digest = digest_of_key(KEY)
         with pytest.raises(ConfigurationError, match=fingerprint(digest)) as caught:
             WorkspaceDirectory([(RILA, [digest]), (Workspace("vitosha"), [digest])])
         assert KEY not in str(caught.value)
         assert digest not in str(caught.value)
 
-    def test_a_name_that_stands_twice_refuses_the_whole(self) -> None:
+    def test_a_directory_with_a_duplicate_name_is_rejected(self) -> None:
         with pytest.raises(ConfigurationError, match="rila"):
             WorkspaceDirectory([(RILA, []), (Workspace("rila"), [])])
 
