--- a/wharftiller/core/sessions/connection_limits.py
+++ b/wharftiller/core/sessions/connection_limits.py
@@ -13,11 +13,11 @@
 
 from wharftiller.core.errors import WharfError
 
-OWN_FLOOR = 96
+MIN_OWN_DESCRIPTORS = 96
 """Minimum of descriptors for a box's own use: listeners, the platform, other boxes and the
 endpoints of a few groups."""
 
-CALLERS_FLOOR = 16
+MIN_CALLERS = 16
 """Minimum of callers' connections for which a box starts."""
 
 GROWTH_FRACTION = 0.25
@@ -86,12 +86,13 @@
         TooFewDescriptorsError
             If there are too few descriptors; the message names the number needed.
         """
-        needed = self.kept_for_files + OWN_FLOOR + CALLERS_FLOOR
+        needed = self.kept_for_files + MIN_OWN_DESCRIPTORS + MIN_CALLERS
         if self.descriptors < needed:
             raise TooFewDescriptorsError(
                 f"{self.descriptors} descriptors are allowed, {needed} are needed:"
-                f" {self.kept_for_files} for files, {OWN_FLOOR} for other boxes and endpoints,"
-                f" {CALLERS_FLOOR} for callers; raise the limit"
+                f" {self.kept_for_files} for files,"
+                f" {MIN_OWN_DESCRIPTORS} for other boxes and endpoints,"
+                f" {MIN_CALLERS} for callers; raise the limit"
             )
 
 
@@ -104,9 +105,9 @@
         Its own open connections: to and from other boxes, endpoints and the platform.
     """
     growth = min(MAX_GROWTH, int(GROWTH_FRACTION * limits.connections))
-    by_descriptors = limits.connections - max(OWN_FLOOR, own + growth)
+    by_descriptors = limits.connections - max(MIN_OWN_DESCRIPTORS, own + growth)
     by_memory = int((limits.memory_mb - PROCESS_MB) * 1024 / SESSION_KB)
-    return max(CALLERS_FLOOR, min(by_descriptors, by_memory))
+    return max(MIN_CALLERS, min(by_descriptors, by_memory))
 
 
 CallerConnection = TypeVar("CallerConnection")
--- a/wharftiller/core/sessions/endpoints.py
+++ b/wharftiller/core/sessions/endpoints.py
@@ -15,7 +15,7 @@
 FIRST_SERVICE_S = 0.02
 """Service time assumed for an endpoint that has not answered yet, in seconds."""
 
-SILENCE_FLOOR_S = 0.3
+MIN_SILENCE_S = 0.3
 """Minimum time without a reply before an endpoint counts as unresponsive, in seconds.
 
 Longer than the kernel's minimum retransmission timeout of 0.2 s, so that one lost packet does
@@ -164,7 +164,7 @@
         """Return whether a reply is outstanding for so long that it counts as unresponsive."""
         if not self.outstanding:
             return False
-        limit_s = max(SILENCE_FLOOR_S, SILENCE_FACTOR * self.service_s)
+        limit_s = max(MIN_SILENCE_S, SILENCE_FACTOR * self.service_s)
         oldest = min(self.outstanding.values())
         return self.last_contact_at <= oldest and now - oldest > limit_s
 
--- a/wharftiller/core/sessions/isolation.py
+++ b/wharftiller/core/sessions/isolation.py
@@ -111,16 +111,16 @@
         Start of the isolation, in seconds; None if the box is not isolated.
     silent : frozenset of str
         The unresponsive data centres that caused it.
-    given_up : bool
+    has_expired : bool
         Whether it ended by `MAX_ISOLATED_S` while they were still unresponsive.
-    sent_away : bool
+    has_shed : bool
         Whether sessions were shed in this isolation.
     """
 
     since: float | None = None
     silent: frozenset[str] = frozenset()
-    given_up: bool = False
-    sent_away: bool = False
+    has_expired: bool = False
+    has_shed: bool = False
 
     def centres_to_ask(self, inputs: IsolationInputs) -> frozenset[str]:
         """Return the data centres to probe before `decide`."""
@@ -136,24 +136,24 @@
 
     def _decide_to_begin(self, inputs: IsolationInputs) -> Step:
         if not inputs.is_majority(inputs.away) or not inputs.silent:
-            self.given_up = False
+            self.has_expired = False
         beyond_cut = [group for group, centre in inputs.away.items() if centre in inputs.silent]
-        if self.given_up or not inputs.is_majority(beyond_cut):
+        if self.has_expired or not inputs.is_majority(beyond_cut):
             return Unchanged()
         self.since = inputs.now
         self.silent = inputs.silent
-        self.sent_away = False
+        self.has_shed = False
         return Begin(inputs.silent)
 
     def _decide_to_end(self, inputs: IsolationInputs, since: float) -> Step:
         is_still_silent = self.silent <= inputs.silent
         reaches_others = bool(inputs.elsewhere - inputs.silent)
-        has_expired = inputs.now - since > MAX_ISOLATED_S
-        if not is_still_silent or (reaches_others and has_expired):
-            self.given_up = is_still_silent
+        is_overdue = inputs.now - since > MAX_ISOLATED_S
+        if not is_still_silent or (reaches_others and is_overdue):
+            self.has_expired = is_still_silent
             self.since = None
             return End()
-        if self.sent_away or inputs.now - since < BALANCER_SEES_S:
+        if self.has_shed or inputs.now - since < BALANCER_SEES_S:
             return Unchanged()
-        self.sent_away = True
+        self.has_shed = True
         return ShedSessions(inputs.unusable)
--- a/wharftiller/core/sessions/retry_after.py
+++ b/wharftiller/core/sessions/retry_after.py
@@ -61,8 +61,8 @@
     ----------
     failover_s : float or None
         Time since a failover was recorded, in seconds; None if there is none.
-    surely : bool
-        Whether that failover needs to wait for nothing: it is planned, or ordered already.
+    is_certain : bool
+        Whether the promotion is certain: the failover is planned, or ordered already.
     silent_s : float or None
         Time for which this box has not reached the primary, in seconds; None if it does.
     unverified_s : float or None
@@ -71,7 +71,7 @@
     """
 
     failover_s: float | None = None
-    surely: bool = False
+    is_certain: bool = False
     silent_s: float | None = None
     unverified_s: float | None = None
 
@@ -94,7 +94,9 @@
     if availability.failover_s is not None:
         left_s = change_s - availability.failover_s
         # A failover that waits for unresponsive boxes ends when their leases expire.
-        return left_s if availability.surely or left_s > 0 else LEASE_S - availability.failover_s
+        return (
+            left_s if availability.is_certain or left_s > 0 else LEASE_S - availability.failover_s
+        )
     if availability.unverified_s is not None:
         if availability.unverified_s < ORDERS_EFFECT_S + change_s:
             return ORDERS_EFFECT_S + change_s - availability.unverified_s
--- a/wharftiller/core/sessions/shares.py
+++ b/wharftiller/core/sessions/shares.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-SET_ASIDE = 2
+RESERVED_CONNECTIONS = 2
 """Connections of each endpoint reserved for status checks and for boxes that join."""
 
 KEPT_DIVISOR = 2
@@ -24,4 +24,4 @@
 
 def most_connections(max_connections: int, boxes: int) -> int:
     """Return the connections to one endpoint that each of ``boxes`` boxes could have."""
-    return (max_connections - SET_ASIDE) // max(boxes, 1)
+    return (max_connections - RESERVED_CONNECTIONS) // max(boxes, 1)
--- a/wharftiller/tests/core/sessions/test_connection_limits.py
+++ b/wharftiller/tests/core/sessions/test_connection_limits.py
@@ -5,11 +5,11 @@
 import pytest
 
 from wharftiller.core.sessions.connection_limits import (
-    CALLERS_FLOOR,
     MAX_GROWTH,
+    MIN_CALLERS,
     MIN_HANDSHAKE_S,
     MIN_IDLE_S,
-    OWN_FLOOR,
+    MIN_OWN_DESCRIPTORS,
     BoxLimits,
     ConnectionLimiter,
     TooFewDescriptorsError,
@@ -23,7 +23,7 @@
 def small_limiter() -> ConnectionLimiter[str]:
     """Return a limiter with room for the minimum of callers."""
     limiter: ConnectionLimiter[str] = ConnectionLimiter(
-        BoxLimits(descriptors=OWN_FLOOR + CALLERS_FLOOR)
+        BoxLimits(descriptors=MIN_OWN_DESCRIPTORS + MIN_CALLERS)
     )
     limiter.note_own(0)
     return limiter
@@ -42,7 +42,7 @@
     ) -> None:
         limits = BoxLimits(descriptors, FILES, memory_mb)
         room = room_for_callers(limits, own)
-        assert room == CALLERS_FLOOR or room + own < limits.connections
+        assert room == MIN_CALLERS or room + own < limits.connections
 
     def test_descriptors_are_reserved_for_further_connections_of_the_box(self) -> None:
         limits = BoxLimits(8_192, FILES, 10_000)
@@ -52,7 +52,7 @@
         assert room_for_callers(BoxLimits(8_192, FILES, 152), 60) == 896
 
     def test_the_error_names_the_number_of_descriptors_needed(self) -> None:
-        needed = FILES + OWN_FLOOR + CALLERS_FLOOR
+        needed = FILES + MIN_OWN_DESCRIPTORS + MIN_CALLERS
         BoxLimits(needed, FILES).check()
         with pytest.raises(TooFewDescriptorsError, match=f"{needed} are needed"):
             BoxLimits(needed - 1, FILES).check()
@@ -61,7 +61,7 @@
 class TestConnectionLimiter:
     def test_it_is_unready_before_it_is_full_and_ready_only_with_room_again(self) -> None:
         limiter = small_limiter()
-        for number in range(CALLERS_FLOOR - 1):
+        for number in range(MIN_CALLERS - 1):
             limiter.came(str(number), 0.0)
         assert limiter.is_nearly_full
         assert not limiter.is_full
--- a/wharftiller/tests/core/sessions/test_retry_after.py
+++ b/wharftiller/tests/core/sessions/test_retry_after.py
@@ -24,7 +24,7 @@
     @pytest.mark.parametrize(
         ("availability", "cause", "after_s"),
         [
-            (PrimaryAvailability(failover_s=0.4, surely=True), Cause.CHANGE_OF_PRIMARY, 0.6),
+            (PrimaryAvailability(failover_s=0.4, is_certain=True), Cause.CHANGE_OF_PRIMARY, 0.6),
             (PrimaryAvailability(failover_s=2.0), Cause.CHANGE_OF_PRIMARY, LEASE_S - 2.0),
             (
                 PrimaryAvailability(silent_s=0.5),
--- a/wharftiller/tests/core/sessions/test_routing.py
+++ b/wharftiller/tests/core/sessions/test_routing.py
@@ -10,8 +10,8 @@
 from wharftiller.core.positions import LogPosition
 from wharftiller.core.sessions.endpoints import (
     LEAVING_MARGIN_S,
+    MIN_SILENCE_S,
     MISSING_GONE_S,
-    SILENCE_FLOOR_S,
     EndpointRow,
 )
 from wharftiller.core.sessions.routes import (
@@ -132,8 +132,8 @@
         endpoint = row("two")
         assert not endpoint.is_suspect(100.0)
         endpoint.sent(1, 100.0)
-        assert not endpoint.is_suspect(100.0 + SILENCE_FLOOR_S)
-        assert endpoint.is_suspect(100.0 + 2 * SILENCE_FLOOR_S)
+        assert not endpoint.is_suspect(100.0 + MIN_SILENCE_S)
+        assert endpoint.is_suspect(100.0 + 2 * MIN_SILENCE_S)
         endpoint.answered(1, 101.0, None)
         assert not endpoint.is_suspect(102.0)
 
