--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -42,12 +42,12 @@
         dialer: EndpointDialer,
         log: DecisionLog,
         metrics: SessionMetrics,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self._dialer = dialer
         self._metrics = metrics
         self._log = log
-        self._changed = changed
+        self._on_change = on_change
         self.rows: dict[str, EndpointRow] = {}
         self.pools: dict[str, EndpointPool] = {}
         self.revision = 0
@@ -68,19 +68,19 @@
             return False
         listed = {entry.name: entry for entry in entries}
         digest = digest_of(listed.values())
-        given_up = any(row.gone for name, row in self.rows.items() if name in listed)
-        if digest == self.digest and not given_up:
+        has_returned = any(row.gone for name, row in self.rows.items() if name in listed)
+        if digest == self.digest and not has_returned:
             return False
         self.revision = revision
         for name, entry in listed.items():
-            self._take_entry(name, entry)
+            self._update_entry(name, entry)
         now = trio.current_time()
         for name, row in self.rows.items():
             if name not in listed and row.missing_since is None:
                 row.missing_since = now
         self.digest = digest
         self.expire(now)
-        self._changed()
+        self._on_change()
         return True
 
     def expire(self, now: float) -> None:
@@ -90,9 +90,9 @@
                 row.gone = True
                 row.leaving_since = row.leaving_since or row.missing_since or now
                 self._log.change("endpoint_gone", endpoint=name, group=row.entry.group)
-                self._changed()
+                self._on_change()
 
-    def _take_entry(self, name: str, entry: EndpointEntry) -> None:
+    def _update_entry(self, name: str, entry: EndpointEntry) -> None:
         row = self.rows.get(name)
         if row is None:
             row = self.rows[name] = EndpointRow(entry)
@@ -131,11 +131,11 @@
         """Return the connections to an endpoint."""
         return self.pools[row.name]
 
-    def busy(self, group: str) -> dict[str, int]:
+    def in_use(self, group: str) -> dict[str, int]:
         """Return this box's statements per endpoint of ``group``, running or waiting."""
         return {row.name: self.pools[row.name].in_use for row in self.of_group(group)}
 
-    def ready(self, group: str, workspace: str) -> set[str]:
+    def with_idle_connection(self, group: str, workspace: str) -> set[str]:
         """Return the endpoints of ``group`` to which an idle connection for ``workspace`` is open.
 
         Of anybody's connections (an empty name) each endpoint counts as having one: the next
--- a/wharftiller/daemons/sessions/gauges.py
+++ b/wharftiller/daemons/sessions/gauges.py
@@ -18,28 +18,30 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 
-def believed(
-    state: SharedState, directory: BoxDirectory, door: ConnectionAdmission, buckets: int
+def state_gauges(
+    state: SharedState, directory: BoxDirectory, admission: ConnectionAdmission, buckets: int
 ) -> Iterator[Gauge]:
     """Yield every gauge."""
     now = trio.current_time()
-    yield _plain("configuration_version", "Version in force.", state.version)
-    yield _plain(
+    yield _single_gauge("configuration_version", "Version in force.", state.version)
+    yield _single_gauge(
         "endpoints_revision", "Platform revision of the endpoints known.", state.endpoints.revision
     )
-    yield _plain("sessions", "Callers' connections open.", len(door))
-    yield _plain("sessions_room", "Callers' connections that can be taken.", door.room)
-    yield _plain("buckets_kept", "Workspaces whose tokens this box grants.", buckets)
-    yield _plain(
+    yield _single_gauge("sessions", "Callers' connections open.", len(admission))
+    yield _single_gauge("sessions_room", "Callers' connections that can be taken.", admission.room)
+    yield _single_gauge("buckets_kept", "Workspaces whose tokens this box grants.", buckets)
+    yield _single_gauge(
         "record_revision", "Revision of the record of leadership.", state.leases.record.revision
     )
-    yield _plain("record_fence", "Fence of the last change of primary.", state.leases.record.fence)
-    yield _plain("boxes_listed", "Other boxes listed.", len(directory.boxes))
-    yield _plain(
+    yield _single_gauge(
+        "record_fence", "Fence of the last change of primary.", state.leases.record.fence
+    )
+    yield _single_gauge("boxes_listed", "Other boxes listed.", len(directory.boxes))
+    yield _single_gauge(
         "boxes_answering", "Other boxes that answered the last round.", len(directory.replies)
     )
     read_age_s = now - directory.platform_read_at
-    yield _plain(
+    yield _single_gauge(
         "platform_read_age_seconds",
         "Age of the newest read of the platform by any box.",
         read_age_s,
@@ -48,7 +50,7 @@
     yield from _by_endpoint(state, now)
 
 
-def _plain(name: str, help_text: str, value: float) -> Gauge:
+def _single_gauge(name: str, help_text: str, value: float) -> Gauge:
     return Gauge(name, help_text, (), [((), float(value))])
 
 
--- a/wharftiller/daemons/sessions/in_flight.py
+++ b/wharftiller/daemons/sessions/in_flight.py
@@ -28,8 +28,8 @@
         Called whenever something ends.
     """
 
-    def __init__(self, changed: Callable[[], None]) -> None:
-        self._changed = changed
+    def __init__(self, on_change: Callable[[], None]) -> None:
+        self._on_change = on_change
         self._groups: dict[str, _GroupInFlight] = collections.defaultdict(_GroupInFlight)
 
     def transaction_began(self, group: str) -> None:
@@ -39,7 +39,7 @@
     def transaction_ended(self, group: str) -> None:
         """Count a transaction's end."""
         self._groups[group].transactions -= 1
-        self._changed()
+        self._on_change()
 
     def write_began(self, group: str) -> None:
         """Count a single write of this box."""
@@ -48,7 +48,7 @@
     def write_ended(self, group: str) -> None:
         """Count a single write's end."""
         self._groups[group].writes -= 1
-        self._changed()
+        self._on_change()
 
     def is_quiet(self, group: str) -> bool:
         """Return whether no write or transaction of this box is under way in ``group``."""
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -20,7 +20,7 @@
 from wharftiller.daemons.sessions.forwarding.forwarder import Forwarder
 from wharftiller.daemons.sessions.forwarding.gateway_client import GatewayClient
 from wharftiller.daemons.sessions.forwarding.gateways import Gateways
-from wharftiller.daemons.sessions.gauges import believed
+from wharftiller.daemons.sessions.gauges import state_gauges
 from wharftiller.daemons.sessions.leadership.failover_monitor import FailoverMonitor
 from wharftiller.daemons.sessions.leadership.failover_runner import FailoverRunner
 from wharftiller.daemons.sessions.leadership.lease_revocation import LeaseRevoker
@@ -40,7 +40,7 @@
 from wharftiller.daemons.sessions.membership.tombstones import Tombstones
 from wharftiller.daemons.sessions.serving.callers import SessionServer
 from wharftiller.daemons.sessions.serving.connection_admission import ConnectionAdmission
-from wharftiller.daemons.sessions.serving.drain import LAST_MOMENT_S, Drain
+from wharftiller.daemons.sessions.serving.drain import KILL_MARGIN_S, Drain
 from wharftiller.daemons.sessions.serving.statements import StatementRunner
 from wharftiller.daemons.sessions.state import SharedState
 from wharftiller.edges.http_server import HttpResponse
@@ -109,7 +109,7 @@
         transport: Transport,
         dialer: EndpointDialer,
         shared: SharedObjects,
-        feeds: Callable[[SharedState, Callable[[], None]], Watches],
+        watches: Callable[[SharedState, Callable[[], None]], Watches],
         promotions: Promotions,
         log: DecisionLog,
         decode_configuration: Callable[[Any], SessionConfiguration],
@@ -127,27 +127,31 @@
         )
         self.state = SharedState(identity.name, identity.data_centre, dialer, log, nursery)
         self._directory = BoxDirectory(self.state, transport, self._box)
-        marks = Tombstones(self._directory)
-        listings = SnapshotApplier(self.state, self._directory, marks, self._box)
+        tombstones = Tombstones(self._directory)
+        snapshots = SnapshotApplier(self.state, self._directory, tombstones, self._box)
         self._gateways = Gateways(self.state, self._directory)
-        self._links = GatewayClient(self.state, self._gateways, self._directory, transport, nursery)
-        forwarder = Forwarder(self.state, self._gateways, self._directory, self._links, nursery)
-        keeper_links = TokenClient(transport)
-        self._keeper_desk = TokenServer(
-            self.state, self._directory, keeper_links, identity.bounds.allowances, nursery
+        self._gateway_client = GatewayClient(
+            self.state, self._gateways, self._directory, transport, nursery
         )
-        gate = RateLimiter(self.state, self._directory, keeper_links, self._keeper_desk)
-        self._runner = StatementRunner(self.state, gate, forwarder)
+        forwarder = Forwarder(
+            self.state, self._gateways, self._directory, self._gateway_client, nursery
+        )
+        token_client = TokenClient(transport)
+        self._token_server = TokenServer(
+            self.state, self._directory, token_client, identity.bounds.allowances, nursery
+        )
+        rate_limiter = RateLimiter(self.state, self._directory, token_client, self._token_server)
+        self._runner = StatementRunner(self.state, rate_limiter, forwarder)
         self.door = ConnectionAdmission(self.state, limits, open_streams)
         self.sessions = SessionServer(self.state, self._runner, self.door)
-        self._for_others = ForwardedExecutor(self.state, gate)
-        self._drain = Drain(self.sessions, self._for_others)
-        desk = SnapshotServer(self.state, incarnation)
-        readers = self._readers = SnapshotClient(
-            self.state, self._directory, self._box, listings.take
+        self._executor = ForwardedExecutor(self.state, rate_limiter)
+        self._drain = Drain(self.sessions, self._executor)
+        snapshot_server = SnapshotServer(self.state, incarnation)
+        snapshot_client = self._snapshot_client = SnapshotClient(
+            self.state, self._directory, self._box, snapshots.take
         )
         self._prober = Prober(self.state, self._directory, dialer, nursery)
-        self._neighbours = PeerSync(
+        self._peer_sync = PeerSync(
             self.state,
             self._directory,
             [seed for seed in identity.seeds if seed != identity.address],
@@ -158,47 +162,47 @@
         self._box_server = BoxServer(
             self.state,
             self._directory,
-            marks,
-            desk,
-            self._neighbours.known,
+            tombstones,
+            snapshot_server,
+            self._peer_sync.known,
             self._prober.check,
-            self._for_others,
-            self._keeper_desk,
-            self._links,
+            self._executor,
+            self._token_server,
+            self._gateway_client,
             identity.bounds.grace_s,
         )
         self.relay = RelayServer(transport, self.state.endpoints.is_endpoint)
         writer = RecordWriter(self.state, shared, incarnation)
         successors = SuccessorFinder(self.state, self._prober)
-        stopper = LeaseRevoker(
-            self.state, self._directory, marks, self._box_server, shared, listings
+        revoker = LeaseRevoker(
+            self.state, self._directory, tombstones, self._box_server, shared, snapshots
         )
-        changes = FailoverRunner(
+        failover_runner = FailoverRunner(
             self.state,
             self._directory,
             self._gateways,
             writer,
-            stopper,
+            revoker,
             successors,
             promotions,
             self._prober,
         )
-        self._mover = FailoverMonitor(
+        self._failover_monitor = FailoverMonitor(
             self.state,
             self._directory,
             self._gateways,
             writer,
             successors,
-            changes,
+            failover_runner,
             UnverifiedPrimaries(self.state, writer, successors),
         )
         self._isolation = IsolationWatch(self.state, self._directory, self.sessions)
-        self._feeds = feeds(self.state, self._missed_change_found)
-        self._rounds = LeaseRenewer(
+        self._watches = watches(self.state, self._notify_followers)
+        self._lease_renewer = LeaseRenewer(
             self.state,
             self._directory,
-            readers,
-            self._neighbours,
+            snapshot_client,
+            self._peer_sync,
             self._gateways.may_run_any,
             nursery,
         )
@@ -207,13 +211,15 @@
             self._directory,
             self._box,
             shared,
-            listings,
-            readers,
-            desk,
-            BoxRetirement(self.state, self._directory, shared, desk, readers, nursery),
-            self._rounds,
-            self._neighbours,
-            self._feeds,
+            snapshots,
+            snapshot_client,
+            snapshot_server,
+            BoxRetirement(
+                self.state, self._directory, shared, snapshot_server, snapshot_client, nursery
+            ),
+            self._lease_renewer,
+            self._peer_sync,
+            self._watches,
             ReadIntervals.within(identity.bounds),
             identity.first_start,
         )
@@ -229,19 +235,19 @@
 
     def start(self) -> None:
         """Start every task."""
-        self._feeds.start(self._nursery)
+        self._watches.start(self._nursery)
         for task in (
-            self._rounds.run,
+            self._lease_renewer.run,
             self._reads.run,
             self._reads.choose_watches,
-            self._neighbours.sync_at_start,
-            self._maintain_for_ever,
+            self._peer_sync.sync_at_start,
+            self._maintain,
             self._prober.run,
-            self._mover.run,
+            self._failover_monitor.run,
             self._isolation.run,
             self._runner.patience.run,
-            self._links.watch_for_ever,
-            self._for_others.run_for_ever,
+            self._gateway_client.watch_for_ever,
+            self._executor.run_for_ever,
             self._log.flush_for_ever,
         ):
             self._nursery.start_soon(task)
@@ -254,22 +260,22 @@
         """Answer with the page of metrics."""
         if request.path != "/metrics":
             raise UnknownPathError(f"no {request.path}; the metrics are at /metrics")
-        gauges = believed(self.state, self._directory, self.door, self._keeper_desk.kept)
+        gauges = state_gauges(self.state, self._directory, self.door, self._token_server.kept)
         page = metrics_page(self.state.metrics, gauges)
         return HttpResponse(200, page)
 
-    def _missed_change_found(self) -> None:
+    def _notify_followers(self) -> None:
         """Tell those who follow the platform of a change that its watches did not tell."""
-        self._nursery.start_soon(self._directory.notify_change, self._readers.followers())
+        self._nursery.start_soon(self._directory.notify_change, self._snapshot_client.followers())
 
     # Maintenance and stopping -------------------------------------------
 
-    async def _maintain_for_ever(self) -> None:
+    async def _maintain(self) -> None:
         while True:
             await trio.sleep(MAINTENANCE_S)
             now = trio.current_time()
             self.state.endpoints.expire(now)
-            self._keeper_desk.maintain(now)
+            self._token_server.maintain(now)
             self.door.maintain(now)
             for pool in self.state.endpoints.pools.values():
                 pool.trim(now)
@@ -282,7 +288,7 @@
         self._nursery.start_soon(self._directory.send_leaving)
         await self._drain.run(started, self._identity.bounds.grace_s)
         self._log.change("stopped", sessions=self.sessions.count)
-        with trio.move_on_after(LAST_MOMENT_S / 2):
+        with trio.move_on_after(KILL_MARGIN_S / 2):
             try:
                 await self._shared.withdraw(self._box)
             except PlatformUnavailableError as error:
--- a/wharftiller/daemons/sessions/serving/answer_log.py
+++ b/wharftiller/daemons/sessions/serving/answer_log.py
@@ -59,13 +59,13 @@
     took_s: float,
     route: Route | None,
 ) -> None:
-    def told() -> dict[str, Any]:
+    def log_context() -> dict[str, Any]:
         access = _access(session, statement)
         reading = None if route is None else type(route.consistency).__name__
-        return {"access": access, "reading": reading, **_believed(state, route)}
+        return {"access": access, "reading": reading, **_routing_state(state, route)}
 
     goal_s = SLOW_S if route is None else route.latency_goal_s
-    state.log.answered(session, statement, reply, took_s, goal_s, told)
+    state.log.answered(session, statement, reply, took_s, goal_s, log_context)
 
 
 def _access(session: Session, statement: Statement) -> str | None:
@@ -80,7 +80,7 @@
             return None
 
 
-def _believed(state: SharedState, route: Route | None) -> dict[str, Any]:
+def _routing_state(state: SharedState, route: Route | None) -> dict[str, Any]:
     """Return what decides a statement's outcome on ``route``, with ages and versions."""
     if route is None:
         return {"version": state.version}
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -13,7 +13,7 @@
 from wharftiller.daemons.sessions.serving.answer_log import record_skipped
 from wharftiller.daemons.sessions.serving.confirmation import confirm_write
 from wharftiller.daemons.sessions.serving.routed import (
-    BUSY_PAUSE_S,
+    BUSY_RETRY_S,
     BUSY_TRIES,
     READ_TRIES,
     NoCapacityError,
@@ -47,14 +47,14 @@
     def __init__(
         self,
         state: SharedState,
-        gate: RateLimiter,
-        chooser: EndpointSelector,
-        patience: ReadTimeouts,
+        rate_limiter: RateLimiter,
+        selector: EndpointSelector,
+        read_timeouts: ReadTimeouts,
     ) -> None:
         self._state = state
-        self._gate = gate
-        self._chooser = chooser
-        self._patience = patience
+        self._rate_limiter = rate_limiter
+        self._selector = selector
+        self._read_timeouts = read_timeouts
 
     async def run(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
@@ -62,11 +62,11 @@
         """Return the answer to a statement outside any transaction."""
         try:
             routed = route_statement(session, route, statement, arrived_at)
-            admission = await self._gate.admit(session.workspace)
+            admission = await self._rate_limiter.admit(session.workspace)
         except StatementRefusedError as error:
             return error.reply(statement, SessionState.IDLE)
         reply = await self._run_admitted(routed, admission)
-        self._gate.give_back(admission)
+        self._rate_limiter.give_back(admission)
         return reply
 
     async def _run_admitted(self, routed: RoutedStatement, admission: Admission) -> Reply:
@@ -82,18 +82,18 @@
         self._state.work.write_began(group)
         try:
             for _ in range(BUSY_TRIES):
-                row = await self._chooser.primary(routed)
+                row = await self._selector.primary(routed)
                 reply = await self._write_once(routed, row, admission)
                 if reply.refusal is None or not reply.refusal.has_not_run:
                     return reply
                 admission.did_not_run()
                 self._state.learn_refusal(row, reply.refusal, None)
-                if trio.current_time() > routed.until - BUSY_PAUSE_S:
+                if trio.current_time() > routed.until - BUSY_RETRY_S:
                     break
-                await trio.sleep(BUSY_PAUSE_S)
+                await trio.sleep(BUSY_RETRY_S)
             detail = f"{row.name} did not take it"
             raise StatementRefusedError(
-                RefusalKind.NO_CAPACITY, detail, Cause.ENDPOINT_REFUSED, BUSY_PAUSE_S
+                RefusalKind.NO_CAPACITY, detail, Cause.ENDPOINT_REFUSED, BUSY_RETRY_S
             )
         finally:
             self._state.work.write_ended(group)
@@ -113,10 +113,10 @@
         connection: PooledConnection | None = None
         try:
             with trio.move_on_at(routed.until):
-                connection = await self._chooser.connect(routed, row)
+                connection = await self._selector.connect(routed, row)
                 await connection.take_on(routed.session, routed.needed)
-                await self._gate.about_to_run(admission)
-                self._check_leads(routed, row, admission)
+                await self._rate_limiter.about_to_run(admission)
+                self._check_still_primary(routed, row, admission)
                 query = routed.query(connection)
                 sent = True
                 asked_at = trio.current_time()
@@ -129,14 +129,16 @@
                 return attrs.evolve(reply, state=SessionState.IDLE)
         except ExchangeError as error:
             kind = RefusalKind.OUTCOME_UNKNOWN
-            raise _write_lost(routed, sent, kind, str(error)) from error
+            raise _write_refusal(routed, sent, kind, str(error)) from error
         finally:
             if connection is not None:
                 connection.release(state)
         why = "no answer in time" if sent else "no connection in time"
-        raise _write_lost(routed, sent, RefusalKind.TIMED_OUT, why)
+        raise _write_refusal(routed, sent, RefusalKind.TIMED_OUT, why)
 
-    def _check_leads(self, routed: RoutedStatement, row: EndpointRow, admission: Admission) -> None:
+    def _check_still_primary(
+        self, routed: RoutedStatement, row: EndpointRow, admission: Admission
+    ) -> None:
         """Refuse the write if ``row`` stopped leading while its connection was prepared."""
         if self._state.startable(routed.route.group) is not row:
             admission.did_not_run()
@@ -146,20 +148,20 @@
     async def _read(self, routed: RoutedStatement, admission: Admission) -> Reply:
         tried: set[str] = set()
         last: Reply | None = None
-        no_place: NoCapacityError | None = None
+        no_capacity: NoCapacityError | None = None
         may_have_run = False
         for _ in range(READ_TRIES):
             try:
-                row, after = await self._chooser.for_read(routed, routed.arrived_at, tried)
+                row, after = await self._selector.for_read(routed, routed.arrived_at, tried)
                 tried.add(row.name)
                 reply = await self._read_once(routed, row, after, tried, admission)
             except NoCapacityError as error:
-                if not self._chooser.another_can_read(routed, tried):
-                    raise _not_served(error, may_have_run) from None
-                no_place = error
+                if not self._selector.can_read_elsewhere(routed, tried):
+                    raise _read_refusal(error, may_have_run) from None
+                no_capacity = error
                 continue
             except StatementRefusedError as error:
-                raise _not_served(error, may_have_run) from None
+                raise _read_refusal(error, may_have_run) from None
             if reply is None:
                 may_have_run = True
                 continue
@@ -173,17 +175,17 @@
                 continue
             admission.did_not_run()
             if reply.refusal.kind is RefusalKind.NO_CAPACITY:
-                await trio.sleep(BUSY_PAUSE_S)
+                await trio.sleep(BUSY_RETRY_S)
         if last is not None and last.refusal is not None and not last.refusal.has_not_run:
             return last
-        if no_place is not None and not may_have_run:
-            raise no_place
+        if no_capacity is not None and not may_have_run:
+            raise no_capacity
         detail = (
             "no endpoint answered the read" if may_have_run else "no endpoint could run the read"
         )
         cause = Cause.NO_ANSWER if may_have_run else Cause.ENDPOINT_REFUSED
         refusal = StatementRefusedError(RefusalKind.NO_CAPACITY, detail, cause)
-        raise _not_served(refusal, may_have_run)
+        raise _read_refusal(refusal, may_have_run)
 
     async def _read_once(
         self,
@@ -194,18 +196,18 @@
         admission: Admission,
     ) -> Reply | None:
         """Return the endpoint's answer, or None if none came while another may still be asked."""
-        patient_until = trio.current_time() + READ_TIMEOUT_FRACTION * routed.route.timeout_s
+        soft_deadline = trio.current_time() + READ_TIMEOUT_FRACTION * routed.route.timeout_s
 
-        def another_can() -> bool:
-            return self._chooser.another_can_read(routed, tried)
+        def can_run_elsewhere() -> bool:
+            return self._selector.can_read_elsewhere(routed, tried)
 
         connection: PooledConnection | None = None
         state = SessionState.IDLE
         try:
-            with self._patience.limit(routed.until, patient_until, another_can):
-                connection = await self._chooser.connect(routed, row)
+            with self._read_timeouts.limit(routed.until, soft_deadline, can_run_elsewhere):
+                connection = await self._selector.connect(routed, row)
                 await connection.take_on(routed.session, routed.needed)
-                await self._gate.about_to_run(admission)
+                await self._rate_limiter.about_to_run(admission)
                 asked_at = trio.current_time()
                 reply = await connection.ask(routed.query(connection, after))
                 state = reply.state
@@ -225,14 +227,14 @@
         return None
 
 
-def _not_served(error: StatementRefusedError, may_have_run: bool) -> StatementRefusedError:
+def _read_refusal(error: StatementRefusedError, may_have_run: bool) -> StatementRefusedError:
     """Return the refusal of a read; one that was offered somewhere may have run."""
     if not may_have_run:
         return error
     return StatementRefusedError(RefusalKind.ROLLED_BACK, error.why, error.cause, error.after_s)
 
 
-def _write_lost(
+def _write_refusal(
     routed: RoutedStatement, sent: bool, kind: RefusalKind, why: str
 ) -> StatementRefusedError:
     """Return the refusal of a write without an answer: of ``kind`` if it may have run."""
--- a/wharftiller/daemons/sessions/serving/callers.py
+++ b/wharftiller/daemons/sessions/serving/callers.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define(eq=False)
-class _Served:
+class _OpenSession:
     """A session being served, and its caller's connection."""
 
     session: Session
@@ -45,74 +45,74 @@
     """Serves callers' sessions; can stop without cutting a request."""
 
     def __init__(
-        self, state: SharedState, runner: StatementRunner, door: ConnectionAdmission
+        self, state: SharedState, runner: StatementRunner, admission: ConnectionAdmission
     ) -> None:
         self._state = state
         self._runner = runner
-        self._door = door
-        self._served: set[_Served] = set()
-        self._numbers = 0
+        self._admission = admission
+        self._open_sessions: set[_OpenSession] = set()
+        self._last_number = 0
         self._closing_idle = False
         self._closing_all = False
 
     @property
     def count(self) -> int:
         """Sessions open."""
-        return len(self._served)
+        return len(self._open_sessions)
 
     async def serve(
         self, channel: CallerChannel, database: str, key_digest: str, caller: CallerConnection
     ) -> None:
         """Serve one session until the caller leaves, this box stops or it needs the room."""
-        self._numbers += 1
-        served = _Served(Session(self._numbers, database, key_digest), caller)
-        self._served.add(served)
+        self._last_number += 1
+        open_session = _OpenSession(Session(self._last_number, database, key_digest), caller)
+        self._open_sessions.add(open_session)
         try:
-            while (statement := await self._next(served, channel)) is not None:
-                reply = await self._runner.run(served.session, statement, trio.current_time())
+            while (statement := await self._next(open_session, channel)) is not None:
+                reply = await self._runner.run(open_session.session, statement, trio.current_time())
                 await channel.send(reply)
         finally:
-            self._served.discard(served)
-            self._runner.end_transaction(served.session)
+            self._open_sessions.discard(open_session)
+            self._runner.end_transaction(open_session.session)
 
-    async def _next(self, served: _Served, channel: CallerChannel) -> Statement | None:
+    async def _next(self, open_session: _OpenSession, channel: CallerChannel) -> Statement | None:
         """Return the next statement; None at the session's end."""
-        caller = served.caller
-        while not self._must_close(served):
-            self._note_rest(served)
-            with trio.CancelScope(deadline=self._rest_until(served.session)) as waiting:
+        caller = open_session.caller
+        while not self._must_close(open_session):
+            self._mark_idle(open_session)
+            with trio.CancelScope(deadline=self._idle_deadline(open_session.session)) as waiting:
                 caller.waiting = waiting
                 statement = await channel.receive()
                 caller.waiting = None
-                self._door.works(caller)
+                self._admission.mark_busy(caller)
                 return statement
             caller.waiting = None
-            self._end_rested(served.session)
+            self._expire_idle_transaction(open_session.session)
         return None
 
-    def _note_rest(self, served: _Served) -> None:
-        if served.session.transaction is None:
-            self._door.rests(served.caller)
+    def _mark_idle(self, open_session: _OpenSession) -> None:
+        if open_session.session.transaction is None:
+            self._admission.mark_idle(open_session.caller)
 
-    def _must_close(self, served: _Served) -> bool:
+    def _must_close(self, open_session: _OpenSession) -> bool:
         if self._closing_all:
             return True
-        return served.session.transaction is None and (
-            self._closing_idle or served.caller.sent_away
+        return open_session.session.transaction is None and (
+            self._closing_idle or open_session.caller.is_shed
         )
 
-    def _rest_until(self, session: Session) -> float:
+    def _idle_deadline(self, session: Session) -> float:
         """Return until when the session may rest, in seconds."""
         transaction = session.transaction
         if transaction is None or transaction.failed:
             return float("inf")
         return transaction.used_at + self._state.configuration.transaction_idle_s
 
-    def _end_rested(self, session: Session) -> None:
+    def _expire_idle_transaction(self, session: Session) -> None:
         transaction = session.transaction
         if transaction is None or transaction.failed:
             return
-        if trio.current_time() >= self._rest_until(session):
+        if trio.current_time() >= self._idle_deadline(session):
             self._state.log.event("transaction_rested_too_long", session=session.number)
             self._runner.fail_transaction(session)
 
@@ -125,11 +125,13 @@
         """Close the sessions on ``groups`` that rest outside a transaction; return how many."""
         routes = self._state.configuration.routes
         sent = 0
-        for served in self._served:
-            route = routes.get(served.session.database)
-            resting = served.caller.waiting is not None and served.session.transaction is None
+        for open_session in self._open_sessions:
+            route = routes.get(open_session.session.database)
+            resting = (
+                open_session.caller.waiting is not None and open_session.session.transaction is None
+            )
             if resting and route is not None and route.group in groups:
-                served.caller.send_away()
+                open_session.caller.send_away()
                 sent += 1
         return sent
 
@@ -139,7 +141,7 @@
         self._cancel_waiting()
 
     def _cancel_waiting(self) -> None:
-        for served in self._served:
-            waiting = served.caller.waiting
-            if waiting is not None and self._must_close(served):
+        for open_session in self._open_sessions:
+            waiting = open_session.caller.waiting
+            if waiting is not None and self._must_close(open_session):
                 waiting.cancel()
--- a/wharftiller/daemons/sessions/serving/confirmation.py
+++ b/wharftiller/daemons/sessions/serving/confirmation.py
@@ -29,7 +29,7 @@
     """
     if state.may_acknowledge(row):
         return
-    if await state.confirmed(row, CONFIRM_WAIT_S):
+    if await state.confirm_primary(row, CONFIRM_WAIT_S):
         return
     session.unsettled.add(row.entry.group)
     detail = "committed on a primary that may have been replaced meanwhile"
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -16,7 +16,7 @@
     from wharftiller.core.sessions.connection_limits import BoxLimits
     from wharftiller.daemons.sessions.state import SharedState
 
-TOLD_S = 1.0
+LOG_INTERVAL_S = 1.0
 """Time between log lines of callers refused or sent away, in seconds."""
 
 
@@ -28,16 +28,16 @@
     ----------
     waiting : trio.CancelScope or None
         Ends its wait for the caller; None while nothing is waited for.
-    sent_away : bool
+    is_shed : bool
         Whether it ends as soon as nothing of its caller is under way.
     """
 
     waiting: trio.CancelScope | None = None
-    sent_away: bool = False
+    is_shed: bool = False
 
     def send_away(self) -> None:
         """End the connection; a statement that is under way is answered first."""
-        self.sent_away = True
+        self.is_shed = True
         if self.waiting is not None:
             self.waiting.cancel()
 
@@ -56,44 +56,44 @@
     ) -> None:
         self._state = state
         self._open_streams = open_streams
-        self._door: ConnectionLimiter[CallerConnection] = ConnectionLimiter(limits)
-        self._told_at = 0.0
+        self._limiter: ConnectionLimiter[CallerConnection] = ConnectionLimiter(limits)
+        self._logged_at = 0.0
         self._refused = 0
-        self._sent_away = 0
+        self._shed = 0
 
     def __len__(self) -> int:
-        return len(self._door)
+        return len(self._limiter)
 
     @property
     def room(self) -> int:
         """How many callers' connections can be taken."""
-        return self._door.room
+        return self._limiter.room
 
     @property
     def is_nearly_full(self) -> bool:
         """Whether new callers are better sent to other boxes."""
-        return self._door.is_nearly_full
+        return self._limiter.is_nearly_full
 
     def enter(self) -> CallerConnection | None:
         """Take one more connection; None if there is no room for it."""
         now = trio.current_time()
-        self._door.note_own(self._open_streams())
-        if self._door.is_full and not self._make_room(now):
+        self._limiter.note_own(self._open_streams())
+        if self._limiter.is_full and not self._make_room(now):
             self._refused += 1
             self._state.metrics.doors["refused"] += 1
             return None
         caller = CallerConnection()
-        self._door.came(caller, now)
+        self._limiter.came(caller, now)
         self._state.metrics.doors["taken"] += 1
         return caller
 
     def _make_room(self, now: float) -> bool:
-        leaving = self._door.who_leaves(now)
-        if leaving is None:
+        closing = self._limiter.who_leaves(now)
+        if closing is None:
             return False
-        self._door.left(leaving)
-        leaving.send_away()
-        self._sent_away += 1
+        self._limiter.left(closing)
+        closing.send_away()
+        self._shed += 1
         self._state.metrics.doors["sent_away"] += 1
         return True
 
@@ -103,27 +103,27 @@
 
     def rests(self, caller: CallerConnection) -> None:
         """Note that a session waits for its caller, outside any transaction."""
-        self._door.rests(caller, trio.current_time())
+        self._limiter.rests(caller, trio.current_time())
 
     def works(self, caller: CallerConnection) -> None:
         """Note that a session has a statement under way."""
-        self._door.works(caller)
+        self._limiter.works(caller)
 
     def leave(self, caller: CallerConnection) -> None:
         """Note that a connection ended."""
-        self._door.left(caller)
+        self._limiter.left(caller)
 
     def maintain(self, now: float) -> None:
         """Count the box's own connections; tell what was refused, a line at most a second."""
-        self._door.note_own(self._open_streams())
-        if now - self._told_at < TOLD_S or not (self._refused or self._sent_away):
+        self._limiter.note_own(self._open_streams())
+        if now - self._logged_at < LOG_INTERVAL_S or not (self._refused or self._shed):
             return
-        self._told_at = now
+        self._logged_at = now
         self._state.log.event(
             "door_full",
             refused=self._refused,
-            sent_away=self._sent_away,
+            sent_away=self._shed,
             open=len(self),
             room=self.room,
         )
-        self._refused = self._sent_away = 0
+        self._refused = self._shed = 0
--- a/wharftiller/daemons/sessions/serving/drain.py
+++ b/wharftiller/daemons/sessions/serving/drain.py
@@ -12,7 +12,7 @@
     from wharftiller.daemons.sessions.forwarding.executor import ForwardedExecutor
     from wharftiller.daemons.sessions.serving.callers import SessionServer
 
-LAST_MOMENT_S = 0.5
+KILL_MARGIN_S = 0.5
 """Time kept before the platform kills a stopping process, in seconds."""
 
 DRAIN_POLL_S = 0.05
@@ -22,9 +22,9 @@
 class Drain:
     """Ends what a stopping box serves; never cuts a request."""
 
-    def __init__(self, sessions: SessionServer, for_others: ForwardedExecutor) -> None:
+    def __init__(self, sessions: SessionServer, executor: ForwardedExecutor) -> None:
         self._sessions = sessions
-        self._for_others = for_others
+        self._executor = executor
 
     async def run(self, started: float, grace_s: float) -> None:
         """Return once all has ended, at the latest just before the grace time is over.
@@ -38,10 +38,10 @@
         """
         await trio.sleep(BALANCER_SEES_S)
         self._sessions.close_idle()
-        await self._until_ended(started + grace_s / 2)
+        await self._wait_until_ended(started + grace_s / 2)
         self._sessions.close_all()
-        await self._until_ended(started + grace_s - LAST_MOMENT_S)
+        await self._wait_until_ended(started + grace_s - KILL_MARGIN_S)
 
-    async def _until_ended(self, until: float) -> None:
-        while (self._sessions.count or self._for_others.count) and trio.current_time() < until:
+    async def _wait_until_ended(self, until: float) -> None:
+        while (self._sessions.count or self._executor.count) and trio.current_time() < until:
             await trio.sleep(DRAIN_POLL_S)
--- a/wharftiller/daemons/sessions/serving/endpoint_selection.py
+++ b/wharftiller/daemons/sessions/serving/endpoint_selection.py
@@ -79,13 +79,13 @@
             need.position,
             state.lead(route.group),
             state.data_centre,
-            state.endpoints.busy(route.group),
-            state.endpoints.ready(route.group, routed.session.workspace_name),
+            state.endpoints.in_use(route.group),
+            state.endpoints.with_idle_connection(route.group, routed.session.workspace_name),
             now,
         )
         return next((row for row in ordered if row.name not in tried), None)
 
-    def another_can_read(self, routed: RoutedStatement, tried: Set[str]) -> bool:
+    def can_read_elsewhere(self, routed: RoutedStatement, tried: Set[str]) -> bool:
         """Return whether an endpoint besides those in ``tried`` is likely to run a read now."""
         state = self._state
         route = routed.route
@@ -118,10 +118,10 @@
                 if not state.primary_expected(group):
                     break
                 await state.leadership_changed()
-        outlook = state.primary_availability(group)
-        after_s = primary_retry_after_s(outlook, state.change_s)
+        availability = state.primary_availability(group)
+        after_s = primary_retry_after_s(availability, state.failover_s)
         detail = f"no primary of {group} can be used now"
-        raise StatementRefusedError(RefusalKind.NO_CAPACITY, detail, outlook.cause, after_s)
+        raise StatementRefusedError(RefusalKind.NO_CAPACITY, detail, availability.cause, after_s)
 
     async def connect(self, routed: RoutedStatement, row: EndpointRow) -> PooledConnection:
         """Return a connection to ``row``.
--- a/wharftiller/daemons/sessions/serving/read_timeouts.py
+++ b/wharftiller/daemons/sessions/serving/read_timeouts.py
@@ -25,13 +25,13 @@
 
     Attributes
     ----------
-    patient_until : float
+    soft_deadline : float
         From when on it is given up if another endpoint can run it, in seconds.
     """
 
     scope: trio.CancelScope
-    patient_until: float
-    another_can: Callable[[], bool]
+    soft_deadline: float
+    can_run_elsewhere: Callable[[], bool]
 
 
 class ReadTimeouts:
@@ -39,20 +39,20 @@
 
     def __init__(self) -> None:
         self._waiting: set[_Waiting] = set()
-        self._somebody_waits = trio.Event()
+        self._has_waiting = trio.Event()
 
     @contextmanager
     def limit(
-        self, until: float, patient_until: float, another_can: Callable[[], bool]
+        self, until: float, soft_deadline: float, can_run_elsewhere: Callable[[], bool]
     ) -> Iterator[None]:
-        """Cancel what runs inside at ``until``, or from ``patient_until`` if ``another_can``.
+        """Cancel what runs inside at ``until``, or from ``soft_deadline`` if ``can_run_elsewhere``.
 
         Both are in seconds. What was cancelled ends without an error.
         """
         with trio.CancelScope(deadline=until) as scope:
-            waiting = _Waiting(scope, patient_until, another_can)
+            waiting = _Waiting(scope, soft_deadline, can_run_elsewhere)
             self._waiting.add(waiting)
-            self._somebody_waits.set()
+            self._has_waiting.set()
             try:
                 yield
             finally:
@@ -61,11 +61,11 @@
     async def run(self) -> None:
         """Look for ever, while reads wait."""
         while True:
-            await self._somebody_waits.wait()
+            await self._has_waiting.wait()
             await trio.sleep(POLL_S)
             now = trio.current_time()
             for waiting in list(self._waiting):
-                if now >= waiting.patient_until and waiting.another_can():
+                if now >= waiting.soft_deadline and waiting.can_run_elsewhere():
                     waiting.scope.cancel()
             if not self._waiting:
-                self._somebody_waits = trio.Event()
+                self._has_waiting = trio.Event()
--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -31,7 +31,7 @@
 MARGIN_S = 0.02
 """Time kept to answer before a statement's time-out, in seconds."""
 
-BUSY_PAUSE_S = 0.02
+BUSY_RETRY_S = 0.02
 """Pause before an endpoint that was too busy is asked again, in seconds: one usual statement."""
 
 BUSY_TRIES = 4
@@ -159,5 +159,5 @@
 
 def retry_later(why: str, after_s: float, statement: Statement) -> str:
     """Return the detail of a refusal after which nothing is kept and that passes."""
-    told_ms = retry_after_s(after_s, statement.request_id) * 1000
-    return f"{why}; nothing is kept, come back in {told_ms:.0f} ms"
+    retry_after_ms = retry_after_s(after_s, statement.request_id) * 1000
+    return f"{why}; nothing is kept, come back in {retry_after_ms:.0f} ms"
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -45,14 +45,14 @@
     """
 
     def __init__(
-        self, state: SharedState, gate: RateLimiter, forwarder: Forwarder | None = None
+        self, state: SharedState, rate_limiter: RateLimiter, forwarder: Forwarder | None = None
     ) -> None:
         self._state = state
         self._forwarder = forwarder
-        chooser = EndpointSelector(state)
+        selector = EndpointSelector(state)
         self.patience = ReadTimeouts()
-        self._singles = AutocommitRunner(state, gate, chooser, self.patience)
-        self._transactions = TransactionRunner(state, gate, chooser)
+        self._autocommit = AutocommitRunner(state, rate_limiter, selector, self.patience)
+        self._transactions = TransactionRunner(state, rate_limiter, selector)
 
     async def run(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
         """Return the one answer to ``statement``; always an answer, whatever fails."""
@@ -82,7 +82,7 @@
             case _ if transaction is not None:
                 return await self._in_transaction(session, transaction, statement, arrived_at)
             case _:
-                return await self._single(session, statement, arrived_at)
+                return await self._run_autocommit(session, statement, arrived_at)
         return Reply(session.state)
 
     def _after_failure(self, session: Session, statement: Statement) -> Reply:
@@ -103,22 +103,24 @@
             return refused(RefusalKind.MALFORMED, "a transaction is open already", session.state)
         route = self._route(session)
         if route is None:
-            return self._no_route(session)
+            return self._refuse_unknown_database(session)
         if not self._bind_workspace(session, route):
-            return self._no_workspace(session)
+            return self._refuse_unknown_key(session)
         return self._transactions.begin(session, route, read_only, arrived_at)
 
-    async def _single(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
+    async def _run_autocommit(
+        self, session: Session, statement: Statement, arrived_at: float
+    ) -> Reply:
         route = self._route(session)
         if route is None:
-            return self._no_route(session)
+            return self._refuse_unknown_database(session)
         if not self._bind_workspace(session, route):
-            return self._no_workspace(session)
+            return self._refuse_unknown_key(session)
         if self._forwarder is not None:
             reply = await self._forwarder.single(session, route, statement, arrived_at)
             if reply is not None:
                 return reply
-        return await self._singles.run(session, route, statement, arrived_at)
+        return await self._autocommit.run(session, route, statement, arrived_at)
 
     async def _in_transaction(
         self,
@@ -144,7 +146,7 @@
                 session, session.transaction, statement, arrived_at
             )
         else:
-            reply = await self._singles.run(session, route, statement, arrived_at)
+            reply = await self._autocommit.run(session, route, statement, arrived_at)
         record_forwarded(self._state, session, statement, reply, arrived_at)
         return reply
 
@@ -168,11 +170,11 @@
                 return False
         return True
 
-    def _no_workspace(self, session: Session) -> Reply:
+    def _refuse_unknown_key(self, session: Session) -> Reply:
         detail = f"no workspace holds this session's key in version {self._state.version}"
         return refused(RefusalKind.UNKNOWN_KEY, detail, session.state)
 
-    def _no_route(self, session: Session) -> Reply:
+    def _refuse_unknown_database(self, session: Session) -> Reply:
         detail = f"no route leads to {session.database} in version {self._state.version}"
         return refused(RefusalKind.UNKNOWN_DATABASE, detail, session.state)
 
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -20,7 +20,7 @@
 )
 from wharftiller.daemons.sessions.serving.confirmation import confirm_write
 from wharftiller.daemons.sessions.serving.routed import (
-    BUSY_PAUSE_S,
+    BUSY_RETRY_S,
     BUSY_TRIES,
     READ_TRIES,
     RateLimitedError,
@@ -42,10 +42,12 @@
 class TransactionRunner:
     """Runs the statements of transactions of every session of this box."""
 
-    def __init__(self, state: SharedState, gate: RateLimiter, chooser: EndpointSelector) -> None:
+    def __init__(
+        self, state: SharedState, rate_limiter: RateLimiter, selector: EndpointSelector
+    ) -> None:
         self._state = state
-        self._gate = gate
-        self._chooser = chooser
+        self._rate_limiter = rate_limiter
+        self._selector = selector
 
     def begin(self, session: Session, route: Route, read_only: bool, arrived_at: float) -> Reply:
         """Open a transaction; its first statement chooses the endpoint."""
@@ -57,12 +59,12 @@
         transaction, session.transaction = session.transaction, None
         if transaction is None:
             return
-        self._counts_no_more(transaction)
+        self._stop_counting(transaction)
         connection, transaction.connection = transaction.connection, None
         if connection is not None:
             self._state.roll_back(connection)
 
-    def _counts_no_more(self, transaction: OpenTransaction) -> None:
+    def _stop_counting(self, transaction: OpenTransaction) -> None:
         """Let a planned change of primary wait for ``transaction`` no longer."""
         if transaction.counted:
             transaction.counted = False
@@ -73,7 +75,7 @@
         transaction = session.transaction
         assert transaction is not None
         transaction.failed = True
-        self._counts_no_more(transaction)
+        self._stop_counting(transaction)
         connection, transaction.connection = transaction.connection, None
         if connection is not None:
             connection.close()
@@ -90,7 +92,7 @@
             routed = route_statement(session, transaction.route, statement, arrived_at)
             if transaction.connection is None:
                 await self._bind_admitted(routed, transaction)
-            reply = await self._ask(routed, transaction)
+            reply = await self._execute(routed, transaction)
         except StatementRefusedError as error:
             reply = error.reply(statement, SessionState.FAILED)
             if isinstance(statement.body, Commit):
@@ -102,11 +104,11 @@
 
     async def _bind_admitted(self, routed: RoutedStatement, transaction: OpenTransaction) -> None:
         """Open the transaction, which is one operation, if the allowance has room for it."""
-        admission = await self._gate.admit(routed.session.workspace)
+        admission = await self._rate_limiter.admit(routed.session.workspace)
         try:
             await self._bind(routed, transaction, admission)
         finally:
-            self._gate.give_back(admission)
+            self._rate_limiter.give_back(admission)
 
     async def _bind(
         self, routed: RoutedStatement, transaction: OpenTransaction, admission: Admission
@@ -116,14 +118,14 @@
         tried: set[str] = set()
         for _ in range(READ_TRIES):
             if transaction.read_only:
-                row, after = await self._chooser.for_read(routed, transaction.begun_at, tried)
+                row, after = await self._selector.for_read(routed, transaction.begun_at, tried)
                 tried.add(row.name)
             else:
-                row, after = await self._chooser.primary(routed), None
+                row, after = await self._selector.primary(routed), None
             with trio.move_on_at(routed.until):
-                connection = await self._chooser.connect(routed, row)
+                connection = await self._selector.connect(routed, row)
                 try:
-                    await self._gate.about_to_run(admission)
+                    await self._rate_limiter.about_to_run(admission)
                     asked_at = trio.current_time()
                     query = EndpointQuery(begin, after=after)
                     reply = await connection.begin(routed.session, query)
@@ -147,12 +149,12 @@
                 admission.did_not_run()
                 self._state.learn_refusal(row, reply.refusal, after)
                 if reply.refusal.kind is RefusalKind.NOT_PRIMARY:
-                    await trio.sleep(BUSY_PAUSE_S)
+                    await trio.sleep(BUSY_RETRY_S)
         raise StatementRefusedError(
             RefusalKind.ROLLED_BACK, "no endpoint began it in time", Cause.NO_ANSWER
         )
 
-    async def _ask(self, routed: RoutedStatement, transaction: OpenTransaction) -> Reply:
+    async def _execute(self, routed: RoutedStatement, transaction: OpenTransaction) -> Reply:
         """Run a statement on the transaction's own connection."""
         connection: PooledConnection = transaction.connection
         commits = isinstance(routed.body, Commit)
@@ -167,29 +169,33 @@
                 transaction.wrote |= routed.writes
                 sent = True
                 asked_at = trio.current_time()
-                reply = await self._offer(connection, query, routed.until)
-                return await self._take_reply(routed, transaction, reply, asked_at)
+                reply = await self._send_until_accepted(connection, query, routed.until)
+                return await self._handle_reply(routed, transaction, reply, asked_at)
         except ExchangeError as error:
-            raise _lost(routed.session, transaction, commits and sent, str(error)) from error
+            raise _lost_reply_refusal(
+                routed.session, transaction, commits and sent, str(error)
+            ) from error
         if commits and sent:
-            raise _lost(routed.session, transaction, True, "no answer in time")
+            raise _lost_reply_refusal(routed.session, transaction, True, "no answer in time")
         raise StatementRefusedError(
             RefusalKind.ROLLED_BACK, "the endpoint did not answer in time", Cause.NO_ANSWER
         )
 
     @staticmethod
-    async def _offer(connection: PooledConnection, query: EndpointQuery, until: float) -> Reply:
+    async def _send_until_accepted(
+        connection: PooledConnection, query: EndpointQuery, until: float
+    ) -> Reply:
         """Ask until the endpoint is not too busy to run the query."""
         for _ in range(BUSY_TRIES):
             reply = await connection.ask(query)
             if reply.refusal is None or reply.refusal.kind is not RefusalKind.NO_CAPACITY:
                 return reply
-            if reply.state is SessionState.FAILED or trio.current_time() > until - BUSY_PAUSE_S:
+            if reply.state is SessionState.FAILED or trio.current_time() > until - BUSY_RETRY_S:
                 return reply
-            await trio.sleep(BUSY_PAUSE_S)
+            await trio.sleep(BUSY_RETRY_S)
         return reply
 
-    async def _take_reply(
+    async def _handle_reply(
         self, routed: RoutedStatement, transaction: OpenTransaction, reply: Reply, asked_at: float
     ) -> Reply:
         """Take in an endpoint's reply; return the caller's."""
@@ -214,12 +220,12 @@
                 return error.reply(routed.statement, SessionState.IDLE)
             return attrs.evolve(reply, state=SessionState.IDLE)
         session.transaction = None
-        self._counts_no_more(transaction)
+        self._stop_counting(transaction)
         connection.release()
         return reply
 
 
-def _lost(
+def _lost_reply_refusal(
     session: Session, transaction: OpenTransaction, commits: bool, why: str
 ) -> StatementRefusedError:
     """Return the refusal of a statement whose answer was lost."""
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -37,13 +37,13 @@
 Detection (1.2 s), every box's word and the promotion itself (0.3 to 0.6 s).
 """
 
-FIRST_CHANGE_S = 1.0
+INITIAL_FAILOVER_S = 1.0
 """Time that a change of primary is taken to need before one was seen, in seconds.
 
 The promotion (0.3 to 0.6 s), every box's word and two updates of the record.
 """
 
-CHANGE_WEIGHT = 0.3
+FAILOVER_WEIGHT = 0.3
 """Weight of the newest change of primary in the smoothed time that one takes."""
 
 RECORD_EXPECTED_S = 1.0
@@ -66,7 +66,7 @@
         Set to have the leases checked without waiting for the next time.
     serves_group : callable
         Whether this box runs a group's statements by itself; `Gateways` sets it.
-    change_s : float
+    failover_s : float
         How long changes of primary took lately, from the first record to the last, in seconds.
     platform_away : bool
         Whether the platform did not answer this box's last read.
@@ -87,8 +87,8 @@
         self._changed = trio.Event()
         self._record_seen = 0
         self._record_at = -math.inf
-        self._changing_since: float | None = None
-        self.change_s = FIRST_CHANGE_S
+        self._failover_since: float | None = None
+        self.failover_s = INITIAL_FAILOVER_S
         self.box = box
         self.data_centre = data_centre
         self.log = log
@@ -153,7 +153,7 @@
         """Return whether ``row`` surely is the only primary of its group now."""
         return self.leases.may_acknowledge(row.entry.group, row.name, trio.current_time())
 
-    async def confirmed(self, row: EndpointRow, timeout_s: float) -> bool:
+    async def confirm_primary(self, row: EndpointRow, timeout_s: float) -> bool:
         """Wait until a check shows that ``row`` still leads; False if none does in time."""
         self.check_soon.set()
         with trio.move_on_after(timeout_s):
@@ -192,7 +192,7 @@
         now = trio.current_time()
         match self.leases.record.groups.get(group):
             case FailingOver(planned=planned, ordered=ordered):
-                since = self._record_at if self._changing_since is None else self._changing_since
+                since = self._record_at if self._failover_since is None else self._failover_since
                 return PrimaryAvailability(now - since, planned or ordered)
             case Leading(is_unverified=True):
                 return PrimaryAvailability(unverified_s=now - self._record_at)
@@ -202,15 +202,15 @@
             case _:
                 return PrimaryAvailability()
 
-    def _time_changes(self) -> None:
+    def _measure_failovers(self) -> None:
         """Learn how long changes of primary take."""
         now = trio.current_time()
         if self.leases.record.moving:
-            self._changing_since = now if self._changing_since is None else self._changing_since
-        elif self._changing_since is not None:
-            took_s = now - self._changing_since
-            self.change_s += CHANGE_WEIGHT * (took_s - self.change_s)
-            self._changing_since = None
+            self._failover_since = now if self._failover_since is None else self._failover_since
+        elif self._failover_since is not None:
+            took_s = now - self._failover_since
+            self.failover_s += FAILOVER_WEIGHT * (took_s - self.failover_s)
+            self._failover_since = None
 
     async def leadership_changed(self) -> None:
         """Wait until something about endpoints, leases or the configuration changes."""
@@ -221,7 +221,7 @@
         if self._record_seen != self.leases.record.revision:
             self._record_seen = self.leases.record.revision
             self._record_at = trio.current_time()
-            self._time_changes()
+            self._measure_failovers()
         self._changed.set()
         self._changed = trio.Event()
 
