--- a/wharftiller/daemons/sessions/__init__.py
+++ b/wharftiller/daemons/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""The session proxy's shell: tasks and sockets around the decisions of `wharftiller.core`."""
+"""The session proxy: tasks and sockets around the pure logic of `wharftiller.core`."""
--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -1,4 +1,4 @@
-"""Every endpoint that was ever listed, and this box's connections to each."""
+"""The known endpoints and this box's connections to each."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class EndpointTable:
-    """The endpoints that this box knows.
+    """The endpoints that this box knows, including removed ones.
 
     Parameters
     ----------
     changed : callable
-        Called whenever the list changes.
+        Called when the list changes.
 
     Attributes
     ----------
@@ -34,7 +34,8 @@
     revision, digest : int
         The platform's revision of the list in force, and its checksum.
     share_of_group : callable
-        How many connections to an endpoint of a group this box may keep; `Gateways` sets it.
+        Returns how many connections this box may keep to an endpoint of a group; set by
+        `Gateways`.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
     # The list -----------------------------------------------------------
 
     def take(self, entries: Iterable[EndpointEntry], revision: int) -> bool:
-        """Take in the whole list of registered endpoints as of the platform's ``revision``.
+        """Apply the complete list of registered endpoints as of the platform's ``revision``.
 
         Returns
         -------
@@ -84,7 +85,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Give up the endpoints that have been missing from the list for long enough."""
+        """Mark as gone the endpoints that have been missing from the list for long enough."""
         for name, row in self.rows.items():
             if not row.gone and row.is_presumed_removed(now):
                 row.gone = True
@@ -128,18 +129,17 @@
         return any(row.entry.address == address for row in self.rows.values() if not row.gone)
 
     def pool(self, row: EndpointRow) -> EndpointPool:
-        """Return the connections to an endpoint."""
+        """Return the connection pool of an endpoint."""
         return self.pools[row.name]
 
     def in_use(self, group: str) -> dict[str, int]:
-        """Return this box's statements per endpoint of ``group``, running or waiting."""
+        """Return this box's count of running and waiting statements per endpoint of ``group``."""
         return {row.name: self.pools[row.name].in_use for row in self.of_group(group)}
 
     def with_idle_connection(self, group: str, workspace: str) -> set[str]:
-        """Return the endpoints of ``group`` to which an idle connection for ``workspace`` is open.
+        """Return the endpoints of ``group`` that have an idle connection for ``workspace``.
 
-        Of anybody's connections (an empty name) each endpoint counts as having one: the next
-        statement that needs it finds one open.
+        With an empty name, for connections shared by all callers, returns every endpoint.
         """
         rows = self.of_group(group)
         if not workspace:
@@ -147,9 +147,9 @@
         return {row.name for row in rows if self.pools[row.name].has_idle_for(workspace)}
 
     def relay_for(self, row: EndpointRow) -> str | None:
-        """Return the address of a box through which ``row`` is reached, if one is known."""
+        """Return the address of the box that relays connections to ``row``, or None."""
         return self.pools[row.name].via
 
     def is_usable(self, row: EndpointRow) -> bool:
-        """Return whether a statement sent to ``row`` now is likely to be answered."""
+        """Return whether ``row`` would probably answer a statement sent now."""
         return not row.is_suspect(trio.current_time()) or self.relay_for(row) is not None
--- a/wharftiller/daemons/sessions/gauges.py
+++ b/wharftiller/daemons/sessions/gauges.py
@@ -1,4 +1,4 @@
-"""What a session proxy believes now, as gauges for its page of metrics."""
+"""Gauges of a session proxy's current state for its metrics page."""
 
 from __future__ import annotations
 
@@ -23,27 +23,33 @@
 ) -> Iterator[Gauge]:
     """Yield every gauge."""
     now = trio.current_time()
-    yield _single_gauge("configuration_version", "Version in force.", state.version)
     yield _single_gauge(
-        "endpoints_revision", "Platform revision of the endpoints known.", state.endpoints.revision
+        "configuration_version", "Version of the configuration in force.", state.version
     )
-    yield _single_gauge("sessions", "Callers' connections open.", len(admission))
-    yield _single_gauge("sessions_room", "Callers' connections that can be taken.", admission.room)
-    yield _single_gauge("buckets_kept", "Workspaces whose tokens this box grants.", buckets)
     yield _single_gauge(
-        "record_revision", "Revision of the record of leadership.", state.leases.record.revision
+        "endpoints_revision",
+        "Platform revision of the list of endpoints.",
+        state.endpoints.revision,
     )
+    yield _single_gauge("sessions", "Open callers' connections.", len(admission))
     yield _single_gauge(
-        "record_fence", "Fence of the last change of primary.", state.leases.record.fence
+        "sessions_room", "Further callers' connections that can be accepted.", admission.room
     )
+    yield _single_gauge("buckets_kept", "Workspaces whose token buckets this box serves.", buckets)
+    yield _single_gauge(
+        "record_revision", "Revision of the leadership record.", state.leases.record.revision
+    )
+    yield _single_gauge("record_fence", "Fence of the last failover.", state.leases.record.fence)
     yield _single_gauge("boxes_listed", "Other boxes listed.", len(directory.boxes))
     yield _single_gauge(
-        "boxes_answering", "Other boxes that answered the last round.", len(directory.replies)
+        "boxes_answering",
+        "Other boxes that answered the last lease renewal.",
+        len(directory.replies),
     )
     read_age_s = now - directory.platform_read_at
     yield _single_gauge(
         "platform_read_age_seconds",
-        "Age of the newest read of the platform by any box.",
+        "Age of the newest platform read by any box, in seconds.",
         read_age_s,
     )
     yield from _by_group(state, now)
@@ -55,7 +61,7 @@
 
 
 def _by_group(state: SharedState, now: float) -> Iterator[Gauge]:
-    leaders, terms, left, ages = [], [], [], []
+    leaders, terms, remaining, ages = [], [], [], []
     for group, known in state.leases.record.groups.items():
         lead = state.lead(group) or ""
         leaders.append(((group, lead, "leading" if isinstance(known, Leading) else "moving"), 1.0))
@@ -63,14 +69,23 @@
         if lease is not None:
             terms.append(((group,), float(lease.term)))
             remaining_s = lease.checked_at + LEASE_S - now if lease.valid(now) else 0.0
-            left.append(((group,), remaining_s))
+            remaining.append(((group,), remaining_s))
         newest = state.positions.of_group(group).newest
         if newest is not None:
             ages.append(((group,), now - newest.at))
-    yield Gauge("primary", "The primary believed in.", ("group", "endpoint", "state"), leaders)
-    yield Gauge("term", "Its term when it was recorded.", ("group",), terms)
-    yield Gauge("lease_left_seconds", "Time for which it may be used.", ("group",), left)
-    yield Gauge("point_age_seconds", "Age of the newest known log position.", ("group",), ages)
+    yield Gauge(
+        "primary", "The recorded primary of each group.", ("group", "endpoint", "state"), leaders
+    )
+    yield Gauge("term", "Term of the primary in its lease.", ("group",), terms)
+    yield Gauge(
+        "lease_left_seconds",
+        "Remaining time of the primary's lease, in seconds.",
+        ("group",),
+        remaining,
+    )
+    yield Gauge(
+        "point_age_seconds", "Age of the newest known log position, in seconds.", ("group",), ages
+    )
 
 
 def _by_endpoint(state: SharedState, now: float) -> Iterator[Gauge]:
@@ -83,7 +98,14 @@
         used.append(((name,), float(pool.in_use)))
         suspect.append(((name,), float(row.is_suspect(now))))
         service.append(((name,), row.service_s))
-    yield Gauge("connections", "Connections open or opening.", ("endpoint",), open_)
-    yield Gauge("connections_wanted", "Connections in use, and waiters.", ("endpoint",), used)
-    yield Gauge("endpoint_suspect", "Whether it is silent.", ("endpoint",), suspect)
-    yield Gauge("service_seconds", "Smoothed service time.", ("endpoint",), service)
+    yield Gauge("connections", "Open and opening connections.", ("endpoint",), open_)
+    yield Gauge(
+        "connections_wanted", "Connections in use plus waiting statements.", ("endpoint",), used
+    )
+    yield Gauge(
+        "endpoint_suspect",
+        "Whether the endpoint is suspected to be unresponsive.",
+        ("endpoint",),
+        suspect,
+    )
+    yield Gauge("service_seconds", "Smoothed service time, in seconds.", ("endpoint",), service)
--- a/wharftiller/daemons/sessions/in_flight.py
+++ b/wharftiller/daemons/sessions/in_flight.py
@@ -1,4 +1,4 @@
-"""Writes and writing transactions of this box that are under way, by group."""
+"""Counts of in-flight writes and write transactions of this box, by group."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @attrs.define
 class _GroupInFlight:
-    """What is under way in one group."""
+    """In-flight work of one group."""
 
     writes: int = 0
     transactions: int = 0
 
 
 class InFlightWork:
-    """Counts what a planned change of primary waits for.
+    """Counts the work that a planned failover waits for.
 
     Parameters
     ----------
     changed : callable
-        Called whenever something ends.
+        Called when a write or transaction ends.
     """
 
     def __init__(self, on_change: Callable[[], None]) -> None:
@@ -33,24 +33,24 @@
         self._groups: dict[str, _GroupInFlight] = collections.defaultdict(_GroupInFlight)
 
     def transaction_began(self, group: str) -> None:
-        """Count a transaction that may write and is open on the primary."""
+        """Count the start of a transaction on the primary that may write."""
         self._groups[group].transactions += 1
 
     def transaction_ended(self, group: str) -> None:
-        """Count a transaction's end."""
+        """Count the end of such a transaction."""
         self._groups[group].transactions -= 1
         self._on_change()
 
     def write_began(self, group: str) -> None:
-        """Count a single write of this box."""
+        """Count the start of an autocommit write."""
         self._groups[group].writes += 1
 
     def write_ended(self, group: str) -> None:
-        """Count a single write's end."""
+        """Count the end of an autocommit write."""
         self._groups[group].writes -= 1
         self._on_change()
 
     def is_quiet(self, group: str) -> bool:
-        """Return whether no write or transaction of this box is under way in ``group``."""
+        """Return whether this box has no in-flight write or write transaction in ``group``."""
         work = self._groups[group]
         return work.writes == 0 and work.transactions == 0
--- a/wharftiller/daemons/sessions/interfaces.py
+++ b/wharftiller/daemons/sessions/interfaces.py
@@ -1,4 +1,4 @@
-"""What the session proxy needs of the outside, to be met by an adapter."""
+"""Interfaces of the session proxy to endpoints and the platform; adapters implement them."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class EndpointConnection(Protocol):
-    """A connection to an endpoint; one exchange at a time."""
+    """A connection to an endpoint; runs one exchange at a time."""
 
     @property
     def usable(self) -> bool:
-        """Whether nothing unexpected has come on it; the endpoint may have closed it."""
+        """Whether no unexpected data arrived; the endpoint may still have closed it."""
         ...
 
     async def ask(self, queries: Sequence[EndpointQuery]) -> list[Reply]:
@@ -31,16 +31,16 @@
         Raises
         ------
         ExchangeError
-            If the connection broke or an answer was not understood.
+            If the connection broke or a reply could not be decoded.
         """
         ...
 
     async def status(self) -> EndpointStatus | None:
-        """Return the endpoint's state, or None if it is too busy to tell."""
+        """Return the endpoint's status, or None if it is too busy to report it."""
         ...
 
     def close(self) -> None:
-        """Close at once; the endpoint rolls back what is open."""
+        """Close at once; the endpoint rolls back an open transaction."""
         ...
 
 
@@ -50,39 +50,40 @@
     async def open(
         self, entry: EndpointEntry, via: str | None = None, workspace: str = ""
     ) -> EndpointConnection:
-        """Open a connection, through the box at ``via`` if given.
+        """Open a connection, relayed by the box at ``via`` if given.
 
         Parameters
         ----------
         workspace : str
-            Whose statements it is for; empty for anybody's and for this box's own.
+            Whose statements it is for; empty for any caller's and for this box's own.
 
         Raises
         ------
         EndpointRefusedError
-            If the endpoint answers but does not take the connection.
+            If the endpoint answers but refuses the connection.
         ExchangeError
-            If it cannot be reached.
+            If the endpoint cannot be reached.
         """
         ...
 
 
 @attrs.frozen
 class PlatformSnapshot:
-    """What boxes share through the platform, read at once.
+    """The objects that boxes share through the platform, from one read.
 
     Attributes
     ----------
     record : LeadershipRecord
-        Revision 0 if there is none yet.
+        The leadership record; revision 0 if there is none yet.
     boxes : dict of str to Box
         Every registered box, this one included.
     revision : int
-        The platform's revision as of the read; any change of anything raises it.
+        The platform's revision at the read; every change on the platform raises it.
     marks : dict of str to int
-        Revision of the entry of every box that is marked as dead; empty where a reader told.
+        Revision of the entry of every tombstoned box; empty if another box supplied the
+        snapshot.
     revisions : dict of str to int
-        Revision of every entry by its name; empty where a reader told.
+        Revision of every entry by its name; empty if another box supplied the snapshot.
     """
 
     record: LeadershipRecord
@@ -93,49 +94,49 @@
 
 
 class Watches(Protocol):
-    """Brings the configuration and the endpoints from the platform."""
+    """Watches the configuration and the endpoints on the platform."""
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Start to follow them."""
+        """Start the watches."""
         ...
 
     def follow(self, wanted: bool) -> None:
-        """Follow them from now on, or not: another box then tells of them."""
+        """Resume or pause the watches; while paused, another box sends the changes."""
         ...
 
     def noticed(self, listing: PlatformSnapshot) -> None:
-        """Read anew what was not heard of up to the platform's revision of ``listing``.
+        """Read again whatever the watches have not delivered up to the revision of ``listing``.
 
-        Watches of the platform may miss changes for a while.
+        Watches may miss changes for a while.
         """
         ...
 
 
 class SharedObjects(Protocol):
-    """Where boxes keep the record of leadership and the list of boxes.
+    """The leadership record and the list of boxes on the platform.
 
-    Every method raises `PlatformUnavailableError` if no answer came; a change
-    may still take effect then.
+    Every method raises `PlatformUnavailableError` if no answer came; a change may still
+    take effect then.
     """
 
     async def read(self) -> PlatformSnapshot:
-        """Read everything as it stands now."""
+        """Read the current state of everything."""
         ...
 
     async def register(self, box: Box) -> None:
-        """Put ``box`` into the list, or its new process in its place."""
+        """Add ``box`` to the list, or replace the entry of its former process."""
         ...
 
     async def retire(self, box: Box, by: str) -> None:
-        """Mark ``box`` as dead."""
+        """Write a tombstone for ``box``."""
         ...
 
     async def withdraw(self, box: Box) -> None:
-        """Take ``box`` out of the list."""
+        """Remove ``box`` from the list."""
         ...
 
     async def replace_record(self, record: LeadershipRecord) -> LeadershipRecord:
-        """Replace the record of ``record.revision``; return what stands there afterwards."""
+        """Replace the record of ``record.revision``; return the record stored afterwards."""
         ...
 
 
@@ -143,7 +144,7 @@
     """Orders promotions."""
 
     async def promote(self, group: str, endpoint: str, holder: str, fence: int) -> bool:
-        """Have ``endpoint`` take over ``group``; False if it is not running.
+        """Order the promotion of ``endpoint`` in ``group``; False if it is not running.
 
         Raises
         ------
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -1,4 +1,4 @@
-"""The session proxy: one process a box that serves sessions and replaces primaries."""
+"""The session proxy: one process per box that serves sessions and fails over primaries."""
 
 from __future__ import annotations
 
@@ -65,18 +65,18 @@
 
 @attrs.frozen
 class BoxIdentity:
-    """Who this box is.
+    """Identity of this box.
 
     Attributes
     ----------
     address : str
         Where other boxes reach it.
     relay : str
-        Where it connects other boxes to endpoints.
+        Where it relays other boxes' connections to endpoints.
     seeds : tuple of str
-        Addresses of boxes that may be asked at a start.
+        Addresses of boxes to sync from at a start.
     bounds : PlatformBounds
-        What the platform promises and asks.
+        Bounds that the platform guarantees and requires.
     first_start : bool
         Whether the whole deployment starts for the first time.
     """
@@ -96,11 +96,11 @@
     Parameters
     ----------
     decode_configuration : callable
-        Turns a configuration's document into the configuration.
+        Decodes a configuration's document.
     limits : BoxLimits
-        What this process may use.
+        Resources that this process may use.
     open_streams : callable
-        Returns how many connections other than callers' are open.
+        Returns the number of open connections other than callers'.
     """
 
     def __init__(
@@ -227,7 +227,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new sessions should come to this box."""
+        """Whether this box should receive new sessions."""
         if self._unready or self._isolation.is_isolated or self.door.is_nearly_full:
             return False
         knows_boxes = self._directory.listed_since is not None or bool(self._directory.boxes)
@@ -253,11 +253,11 @@
             self._nursery.start_soon(task)
 
     async def handle_box(self, request: HttpRequest) -> HttpResponse:
-        """Answer another box's question."""
+        """Handle another box's request."""
         return await self._box_server.handle(request)
 
     async def handle_metrics(self, request: HttpRequest) -> HttpResponse:
-        """Answer with the page of metrics."""
+        """Return the metrics page."""
         if request.path != "/metrics":
             raise UnknownPathError(f"no {request.path}; the metrics are at /metrics")
         gauges = state_gauges(self.state, self._directory, self.door, self._token_server.kept)
@@ -265,7 +265,7 @@
         return HttpResponse(200, page)
 
     def _notify_followers(self) -> None:
-        """Tell those who follow the platform of a change that its watches did not tell."""
+        """Notify the boxes that follow this one of a change that the watches had missed."""
         self._nursery.start_soon(self._directory.notify_change, self._snapshot_client.followers())
 
     # Maintenance and stopping -------------------------------------------
@@ -281,7 +281,7 @@
                 pool.trim(now)
 
     async def stop(self) -> None:
-        """Turn unready, let sessions end, leave the list of boxes, then return."""
+        """Become unready, drain the sessions, withdraw from the list of boxes, then return."""
         started = trio.current_time()
         self._unready = True
         self._log.change("stopping", sessions=self.sessions.count)
--- a/wharftiller/daemons/sessions/serving/answer_log.py
+++ b/wharftiller/daemons/sessions/serving/answer_log.py
@@ -1,4 +1,4 @@
-"""Log and count what became of statements, with what this box believed meanwhile."""
+"""Log and count the outcomes of statements, with the state that decided them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def record_answer(
     state: SharedState, session: Session, statement: Statement, reply: Reply, arrived_at: float
 ) -> None:
-    """Log and count how a statement ended."""
+    """Log and count the outcome of a statement."""
     took_s = trio.current_time() - arrived_at
     route = state.configuration.routes.get(session.database)
     labels = AnswerLabels(
@@ -37,14 +37,14 @@
 def record_forwarded(
     state: SharedState, session: Session, statement: Statement, reply: Reply, arrived_at: float
 ) -> None:
-    """Log how a statement ended that was run for another box, which counts the answer."""
+    """Log the outcome of a forwarded statement; the box that forwarded it counts the answer."""
     took_s = trio.current_time() - arrived_at
     route = state.configuration.routes.get(session.database)
     _log(state, session, statement, reply, took_s, route)
 
 
 def record_skipped(state: SharedState, row: EndpointRow, statement: Statement, why: str) -> None:
-    """Log and count that an endpoint was asked and did not serve."""
+    """Log and count that an endpoint did not serve a statement that was sent to it."""
     state.metrics.statements[row.name, "passed_over"] += 1
     state.log.event(
         "endpoint_passed_over", request=statement.request_id, endpoint=row.name, why=why
@@ -81,7 +81,7 @@
 
 
 def _routing_state(state: SharedState, route: Route | None) -> dict[str, Any]:
-    """Return what decides a statement's outcome on ``route``, with ages and versions."""
+    """Return the state, with ages and versions, that statements on ``route`` depend on."""
     if route is None:
         return {"version": state.version}
     now = trio.current_time()
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -1,4 +1,4 @@
-"""Run single reads and single writes: statements outside any transaction."""
+"""Run autocommit statements: reads and writes outside any transaction."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 READ_TIMEOUT_FRACTION = 0.45
-"""Part of a read's time-out after which a silent endpoint is given up for another that can."""
+"""Fraction of a read's time-out after which it may be retried on another endpoint."""
 
 
 class AutocommitRunner:
-    """Runs the single statements of every session of this box."""
+    """Runs the autocommit statements of every session of this box."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
                 if trio.current_time() > routed.until - BUSY_RETRY_S:
                     break
                 await trio.sleep(BUSY_RETRY_S)
-            detail = f"{row.name} did not take it"
+            detail = f"{row.name} refused the write"
             raise StatementRefusedError(
                 RefusalKind.NO_CAPACITY, detail, Cause.ENDPOINT_REFUSED, BUSY_RETRY_S
             )
@@ -106,7 +106,7 @@
         Raises
         ------
         StatementRefusedError
-            If none came, or none that may be passed on.
+            If no answer came in time, or the write could not be confirmed.
         """
         sent = False
         state = SessionState.IDLE
@@ -139,7 +139,7 @@
     def _check_still_primary(
         self, routed: RoutedStatement, row: EndpointRow, admission: Admission
     ) -> None:
-        """Refuse the write if ``row`` stopped leading while its connection was prepared."""
+        """Refuse the write if ``row`` is no longer the primary once its connection is prepared."""
         if self._state.startable(routed.route.group) is not row:
             admission.did_not_run()
             detail = "the primary is being replaced"
@@ -147,7 +147,7 @@
 
     async def _read(self, routed: RoutedStatement, admission: Admission) -> Reply:
         tried: set[str] = set()
-        last: Reply | None = None
+        last_reply: Reply | None = None
         no_capacity: NoCapacityError | None = None
         may_have_run = False
         for _ in range(READ_TRIES):
@@ -167,7 +167,7 @@
                 continue
             if reply.refusal is None:
                 return reply
-            last = reply
+            last_reply = reply
             self._state.learn_refusal(row, reply.refusal, after)
             if not reply.refusal.has_not_run:
                 if reply.refusal.kind is not RefusalKind.STATEMENT_FAILED:
@@ -176,8 +176,12 @@
             admission.did_not_run()
             if reply.refusal.kind is RefusalKind.NO_CAPACITY:
                 await trio.sleep(BUSY_RETRY_S)
-        if last is not None and last.refusal is not None and not last.refusal.has_not_run:
-            return last
+        if (
+            last_reply is not None
+            and last_reply.refusal is not None
+            and not last_reply.refusal.has_not_run
+        ):
+            return last_reply
         if no_capacity is not None and not may_have_run:
             raise no_capacity
         detail = (
@@ -195,7 +199,7 @@
         tried: Set[str],
         admission: Admission,
     ) -> Reply | None:
-        """Return the endpoint's answer, or None if none came while another may still be asked."""
+        """Return the endpoint's answer, or None if the read may be tried on another endpoint."""
         soft_deadline = trio.current_time() + READ_TIMEOUT_FRACTION * routed.route.timeout_s
 
         def can_run_elsewhere() -> bool:
@@ -228,7 +232,7 @@
 
 
 def _read_refusal(error: StatementRefusedError, may_have_run: bool) -> StatementRefusedError:
-    """Return the refusal of a read; one that was offered somewhere may have run."""
+    """Return the refusal of a read, as rolled back if an endpoint may have run it."""
     if not may_have_run:
         return error
     return StatementRefusedError(RefusalKind.ROLLED_BACK, error.why, error.cause, error.after_s)
@@ -237,7 +241,7 @@
 def _write_refusal(
     routed: RoutedStatement, sent: bool, kind: RefusalKind, why: str
 ) -> StatementRefusedError:
-    """Return the refusal of a write without an answer: of ``kind`` if it may have run."""
+    """Return the refusal of an unanswered write, of ``kind`` if it had been sent."""
     if sent:
         routed.session.unsettled.add(routed.route.group)
         return StatementRefusedError(kind, f"{why}; it may have been committed")
--- a/wharftiller/daemons/sessions/serving/callers.py
+++ b/wharftiller/daemons/sessions/serving/callers.py
@@ -1,4 +1,4 @@
-"""Serve one caller's session from its first statement to its end."""
+"""Serve callers' sessions from their first statement to their end."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class CallerChannel(Protocol):
-    """A caller's connection, decoded."""
+    """A caller's connection, as decoded statements and replies."""
 
     async def receive(self) -> Statement | None:
-        """Return the next statement, or None when the caller has left."""
+        """Return the next statement, or None when the caller has disconnected."""
         ...
 
     async def send(self, reply: Reply) -> None:
@@ -35,14 +35,14 @@
 
 @attrs.define(eq=False)
 class _OpenSession:
-    """A session being served, and its caller's connection."""
+    """An open session and its caller's connection."""
 
     session: Session
     caller: CallerConnection
 
 
 class SessionServer:
-    """Serves callers' sessions; can stop without cutting a request."""
+    """Serves callers' sessions; stops without interrupting a statement."""
 
     def __init__(
         self, state: SharedState, runner: StatementRunner, admission: ConnectionAdmission
@@ -57,13 +57,13 @@
 
     @property
     def count(self) -> int:
-        """Sessions open."""
+        """Number of open sessions."""
         return len(self._open_sessions)
 
     async def serve(
         self, channel: CallerChannel, database: str, key_digest: str, caller: CallerConnection
     ) -> None:
-        """Serve one session until the caller leaves, this box stops or it needs the room."""
+        """Serve one session until its caller disconnects, the box stops or the session is shed."""
         self._last_number += 1
         open_session = _OpenSession(Session(self._last_number, database, key_digest), caller)
         self._open_sessions.add(open_session)
@@ -102,7 +102,7 @@
         )
 
     def _idle_deadline(self, session: Session) -> float:
-        """Return until when the session may rest, in seconds."""
+        """Return the time until which the session may stay idle, in seconds."""
         transaction = session.transaction
         if transaction is None or transaction.failed:
             return float("inf")
@@ -117,26 +117,26 @@
             self._runner.fail_transaction(session)
 
     def close_idle(self) -> None:
-        """Close every session outside a transaction, now and from here on."""
+        """Close every session outside a transaction, and every other when its transaction ends."""
         self._closing_idle = True
         self._cancel_waiting()
 
     def send_away(self, groups: Collection[str]) -> int:
-        """Close the sessions on ``groups`` that rest outside a transaction; return how many."""
+        """Close the idle sessions on ``groups`` that are outside a transaction; return how many."""
         routes = self._state.configuration.routes
-        sent = 0
+        shed = 0
         for open_session in self._open_sessions:
             route = routes.get(open_session.session.database)
-            resting = (
+            is_idle = (
                 open_session.caller.waiting is not None and open_session.session.transaction is None
             )
-            if resting and route is not None and route.group in groups:
+            if is_idle and route is not None and route.group in groups:
                 open_session.caller.send_away()
-                sent += 1
-        return sent
+                shed += 1
+        return shed
 
     def close_all(self) -> None:
-        """Close every session at its next rest; open transactions are rolled back."""
+        """Close every session after its current statement; roll back open transactions."""
         self._closing_all = True
         self._cancel_waiting()
 
--- a/wharftiller/daemons/sessions/serving/confirmation.py
+++ b/wharftiller/daemons/sessions/serving/confirmation.py
@@ -1,4 +1,4 @@
-"""Make certain that a committed write was committed by its group's only primary."""
+"""Confirm that a write was committed by its group's only primary."""
 
 from __future__ import annotations
 
@@ -13,19 +13,16 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 CONFIRM_WAIT_S = 1.5
-"""How long a committed write waits for its lease to be checked again, in seconds.
-
-One check that fails (0.7 s) and one that succeeds.
-"""
+"""Timeout of the lease check that confirms a write, in seconds; allows one failed check."""
 
 
 async def confirm_write(state: SharedState, session: Session, row: EndpointRow) -> None:
-    """Wait until it is certain that no other primary led when the write was committed.
+    """Wait until a lease check shows that ``row`` was the only primary at the commit.
 
     Raises
     ------
     StatementRefusedError
-        If it does not become certain in time.
+        If no check confirms it in time; the group is then unsettled for the session.
     """
     if state.may_acknowledge(row):
         return
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -1,4 +1,4 @@
-"""Callers' connections of this box: takes them while it has room, tells what it refused."""
+"""Admission of callers' connections: accepts, sheds and refuses them by the box's limits."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 LOG_INTERVAL_S = 1.0
-"""Time between log lines of callers refused or sent away, in seconds."""
+"""Minimum time between log lines on refused and shed callers, in seconds."""
 
 
 @attrs.define(eq=False)
@@ -27,28 +27,28 @@
     Attributes
     ----------
     waiting : trio.CancelScope or None
-        Ends its wait for the caller; None while nothing is waited for.
+        Cancels the wait for the caller's input; None unless it waits.
     is_shed : bool
-        Whether it ends as soon as nothing of its caller is under way.
+        Whether it closes as soon as no statement or transaction is open.
     """
 
     waiting: trio.CancelScope | None = None
     is_shed: bool = False
 
     def send_away(self) -> None:
-        """End the connection; a statement that is under way is answered first."""
+        """Close the connection once its current statement is answered."""
         self.is_shed = True
         if self.waiting is not None:
             self.waiting.cancel()
 
 
 class ConnectionAdmission:
-    """The door of one box.
+    """Admits callers' connections to one box.
 
     Parameters
     ----------
     open_streams : callable
-        Returns how many connections other than callers' are open.
+        Returns the number of open connections other than callers'.
     """
 
     def __init__(
@@ -66,16 +66,16 @@
 
     @property
     def room(self) -> int:
-        """How many callers' connections can be taken."""
+        """Number of further callers' connections that can be accepted."""
         return self._limiter.room
 
     @property
     def is_nearly_full(self) -> bool:
-        """Whether new callers are better sent to other boxes."""
+        """Whether new callers should be directed to other boxes."""
         return self._limiter.is_nearly_full
 
     def enter(self) -> CallerConnection | None:
-        """Take one more connection; None if there is no room for it."""
+        """Accept a connection, shedding an idle one if needed; None if the box is full."""
         now = trio.current_time()
         self._limiter.note_own(self._open_streams())
         if self._limiter.is_full and not self._make_room(now):
@@ -98,23 +98,23 @@
         return True
 
     def refusal(self) -> str:
-        """Return what a caller that was not taken is told: the next try reaches another box."""
+        """Return the error text for a refused caller, whose next attempt may reach another box."""
         return f"{len(self)} sessions are open here; come back in {MIN_RETRY_AFTER_S * 1000:.0f} ms"
 
-    def rests(self, caller: CallerConnection) -> None:
-        """Note that a session waits for its caller, outside any transaction."""
+    def mark_idle(self, caller: CallerConnection) -> None:
+        """Record that a session waits for its caller, outside any transaction."""
         self._limiter.rests(caller, trio.current_time())
 
-    def works(self, caller: CallerConnection) -> None:
-        """Note that a session has a statement under way."""
+    def mark_busy(self, caller: CallerConnection) -> None:
+        """Record that a session runs a statement."""
         self._limiter.works(caller)
 
     def leave(self, caller: CallerConnection) -> None:
-        """Note that a connection ended."""
+        """Record that a connection was closed."""
         self._limiter.left(caller)
 
     def maintain(self, now: float) -> None:
-        """Count the box's own connections; tell what was refused, a line at most a second."""
+        """Count the box's own connections; log refused and shed callers, rate limited."""
         self._limiter.note_own(self._open_streams())
         if now - self._logged_at < LOG_INTERVAL_S or not (self._refused or self._shed):
             return
--- a/wharftiller/daemons/sessions/serving/drain.py
+++ b/wharftiller/daemons/sessions/serving/drain.py
@@ -1,4 +1,4 @@
-"""Let sessions and other boxes' statements end before the process does."""
+"""Drain sessions and forwarded statements before the process ends."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
     from wharftiller.daemons.sessions.serving.callers import SessionServer
 
 KILL_MARGIN_S = 0.5
-"""Time kept before the platform kills a stopping process, in seconds."""
+"""Time reserved before the platform kills a stopping process, in seconds."""
 
 DRAIN_POLL_S = 0.05
-"""Time between looks at whether all sessions have ended, in seconds."""
+"""Interval of checks whether all sessions have ended, in seconds."""
 
 
 class Drain:
-    """Ends what a stopping box serves; never cuts a request."""
+    """Drains a stopping box without interrupting a statement."""
 
     def __init__(self, sessions: SessionServer, executor: ForwardedExecutor) -> None:
         self._sessions = sessions
         self._executor = executor
 
     async def run(self, started: float, grace_s: float) -> None:
-        """Return once all has ended, at the latest just before the grace time is over.
+        """Return once everything has ended, at the latest shortly before the grace time is over.
 
         Parameters
         ----------
         started : float
-            When the box was told to stop, in seconds.
+            When the box was ordered to stop, in seconds.
         grace_s : float
             Time from then on until the process is killed, in seconds.
         """
--- a/wharftiller/daemons/sessions/serving/endpoint_selection.py
+++ b/wharftiller/daemons/sessions/serving/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint of a statement and get a connection to it."""
+"""Select the endpoint for a statement and acquire a connection to it."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 HOLD_FOR_PRIMARY_S = 0.7
-"""How long a statement waits for a primary while one is being found, in seconds.
+"""Maximum time that a statement waits for a primary during a failover, in seconds.
 
-As long as a promotion and its record take; a route's own time-out ends it sooner.
+Covers a promotion and the update of its record; a route's time-out may end it sooner.
 """
 
 
 class EndpointSelector:
-    """Chooses endpoints by what this box believes of them."""
+    """Selects endpoints by this box's view of the groups."""
 
     def __init__(self, state: SharedState) -> None:
         self._state = state
@@ -43,19 +43,19 @@
     async def for_read(
         self, routed: RoutedStatement, begun_at: float, tried: Set[str] = frozenset()
     ) -> tuple[EndpointRow, LogPosition | None]:
-        """Return the endpoint for a read and the position that its log must hold.
+        """Return the endpoint for a read and the log position that it must have reached.
 
         Parameters
         ----------
         begun_at : float
-            When the read, or the transaction it is part of, began, in seconds.
+            When the read or its transaction began, in seconds.
         tried : set of str
-            Replicas not to be chosen again.
+            Names of replicas to exclude.
 
         Raises
         ------
         StatementRefusedError
-            If the read needs a primary and none can be used.
+            If the read needs the primary and it cannot be used.
         """
         route = routed.route
         need = need_of_read(
@@ -86,7 +86,7 @@
         return next((row for row in ordered if row.name not in tried), None)
 
     def can_read_elsewhere(self, routed: RoutedStatement, tried: Set[str]) -> bool:
-        """Return whether an endpoint besides those in ``tried`` is likely to run a read now."""
+        """Return whether an endpoint outside ``tried`` can probably run a read now."""
         state = self._state
         route = routed.route
         need = need_of_read(
@@ -100,12 +100,12 @@
         )
 
     async def primary(self, routed: RoutedStatement) -> EndpointRow:
-        """Return the primary, waiting a little for one while it is being replaced.
+        """Return the primary, waiting up to `HOLD_FOR_PRIMARY_S` during a failover.
 
         Raises
         ------
         StatementRefusedError
-            If none can be used in time.
+            If no primary can be used in time.
         """
         state = self._state
         group = routed.route.group
@@ -129,7 +129,7 @@
         Raises
         ------
         StatementRefusedError
-            If there is none to be had.
+            If no connection is available.
         """
         try:
             route = routed.route
--- a/wharftiller/daemons/sessions/serving/read_timeouts.py
+++ b/wharftiller/daemons/sessions/serving/read_timeouts.py
@@ -1,7 +1,7 @@
-"""Give up a read that takes long, but only while another endpoint could run it.
+"""Cancel slow reads at a soft deadline, but only if another endpoint can run them.
 
-A slow endpoint still works on a read that its box gave up. Where no other can take the
-read, giving up only adds work and a new connection, so it is left to end.
+A slow endpoint continues a cancelled read. Where no other endpoint can run it, a retry
+would only add load and a new connection.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     from collections.abc import Callable, Iterator
 
 POLL_S = 0.05
-"""Time between looks at reads that take long, in seconds: well below any route's time-out."""
+"""Interval of checks for slow reads, in seconds; well below any route's time-out."""
 
 
 @attrs.frozen(eq=False)
@@ -26,7 +26,7 @@
     Attributes
     ----------
     soft_deadline : float
-        From when on it is given up if another endpoint can run it, in seconds.
+        Time from which it is cancelled if another endpoint can run it, in seconds.
     """
 
     scope: trio.CancelScope
@@ -35,7 +35,7 @@
 
 
 class ReadTimeouts:
-    """Watches the reads of one box that wait for an endpoint's answer."""
+    """Enforces soft deadlines on the reads of one box."""
 
     def __init__(self) -> None:
         self._waiting: set[_Waiting] = set()
@@ -47,7 +47,7 @@
     ) -> Iterator[None]:
         """Cancel what runs inside at ``until``, or from ``soft_deadline`` if ``can_run_elsewhere``.
 
-        Both are in seconds. What was cancelled ends without an error.
+        Both times are in seconds. Cancelled code ends without an error.
         """
         with trio.CancelScope(deadline=until) as scope:
             waiting = _Waiting(scope, soft_deadline, can_run_elsewhere)
@@ -59,7 +59,7 @@
                 self._waiting.discard(waiting)
 
     async def run(self) -> None:
-        """Look for ever, while reads wait."""
+        """Check soft deadlines forever, while reads wait."""
         while True:
             await self._has_waiting.wait()
             await trio.sleep(POLL_S)
--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -1,4 +1,4 @@
-"""A caller's statement on its way to an endpoint, and what ends it with a refusal."""
+"""Statements routed to an endpoint, and the errors that refuse them."""
 
 from __future__ import annotations
 
@@ -29,30 +29,30 @@
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
 
 MARGIN_S = 0.02
-"""Time kept to answer before a statement's time-out, in seconds."""
+"""Time reserved for the reply before a statement's time-out, in seconds."""
 
 BUSY_RETRY_S = 0.02
-"""Pause before an endpoint that was too busy is asked again, in seconds: one usual statement."""
+"""Pause before a retry on a busy endpoint, in seconds; about one statement's duration."""
 
 BUSY_TRIES = 4
-"""Times a statement is offered to an endpoint that is too busy to take it."""
+"""Maximum number of times that a statement is sent to a busy endpoint."""
 
 READ_TRIES = 4
-"""Endpoints asked for one read before it is refused."""
+"""Maximum number of endpoints tried for one read."""
 
 SentBody = Direct | Execute | Commit
-"""What of a caller's statements goes to an endpoint as it is."""
+"""Bodies of statements that are sent to an endpoint unchanged."""
 
 
 class StatementRefusedError(Exception):
-    """A statement that ends with a refusal by this box.
+    """A statement was refused by this box.
 
     Parameters
     ----------
     cause : Cause or None
-        What stood in its way and passes by itself; nothing of the statement is kept then.
+        The temporary condition behind it, if any; the statement had no effect then.
     after_s : float
-        In how many seconds that has probably passed.
+        Expected duration of that condition, in seconds.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self.after_s = after_s
 
     def reply(self, statement: Statement, state: SessionState) -> Reply:
-        """Return what the caller of ``statement`` is told."""
+        """Return the reply to the caller of ``statement``."""
         detail = self.why
         if self.cause is not None:
             detail = retry_later(self.why, self.after_s, statement)
@@ -77,14 +77,14 @@
 
 
 class NoCapacityError(StatementRefusedError):
-    """An endpoint has no place for a statement within its goal; nothing was sent."""
+    """An endpoint has no capacity within the latency goal; nothing was sent."""
 
     def __init__(self, why: str, cause: Cause, after_s: float) -> None:
         super().__init__(RefusalKind.NO_CAPACITY, why, cause, after_s)
 
 
 class RateLimitedError(StatementRefusedError):
-    """The workspace's allowance has no room for an operation; nothing was sent."""
+    """The workspace's allowance is used up; nothing was sent."""
 
     def __init__(self, why: str, cause: Cause, after_s: float) -> None:
         super().__init__(RefusalKind.NO_CAPACITY, why, cause, after_s)
@@ -92,14 +92,14 @@
 
 @attrs.frozen
 class RoutedStatement:
-    """One statement with everything that decides where it runs and until when.
+    """A statement with all that determines its endpoint and its deadline.
 
     Attributes
     ----------
     needed : PreparedStatement or None
-        What its endpoint's connection must have a name for.
+        What must be prepared on the endpoint's connection before it runs.
     arrived_at, until : float
-        When it came and when its endpoint's answer is too late, in seconds.
+        Its arrival and the deadline of its endpoint's answer, in seconds.
     """
 
     session: Session
@@ -112,7 +112,7 @@
 
     @property
     def writes(self) -> bool:
-        """Whether it changes data itself; a commit does not."""
+        """Whether it changes data itself; False for a commit."""
         match self.body:
             case Direct(access):
                 return access is Access.WRITE
@@ -124,7 +124,7 @@
     def query(
         self, connection: PooledConnection, after: LogPosition | None = None
     ) -> EndpointQuery:
-        """Return what is sent on ``connection``, which may know a prepared name by another."""
+        """Return the query for ``connection``, with its own name of a prepared statement."""
         body = self.body
         if isinstance(body, Execute) and self.needed is not None:
             body = attrs.evolve(body, name=connection.prepared[self.needed])
@@ -134,7 +134,7 @@
 def route_statement(
     session: Session, route: Route, statement: Statement, arrived_at: float
 ) -> RoutedStatement:
-    """Return ``statement`` with what it needs to run on ``route``.
+    """Return ``statement`` routed on ``route``.
 
     Raises
     ------
@@ -151,13 +151,13 @@
         case Direct() | Commit():
             pass
         case _:
-            detail = "this cannot be sent to an endpoint"
+            detail = "a statement of this kind cannot be sent to an endpoint"
             raise StatementRefusedError(RefusalKind.MALFORMED, detail)
     until = arrived_at + route.timeout_s - MARGIN_S
     return RoutedStatement(session, route, statement, statement.body, needed, arrived_at, until)
 
 
 def retry_later(why: str, after_s: float, statement: Statement) -> str:
-    """Return the detail of a refusal after which nothing is kept and that passes."""
+    """Return the detail of a temporary refusal of a statement that had no effect."""
     retry_after_ms = retry_after_s(after_s, statement.request_id) * 1000
     return f"{why}; nothing is kept, come back in {retry_after_ms:.0f} ms"
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -1,4 +1,4 @@
-"""Answer every statement of callers' sessions, each by the runner of its kind."""
+"""Answer the statements of sessions, each by the runner of its kind."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
     Parameters
     ----------
     gate : RateLimiter
-        Admits operations that are run here.
+        Admits operations that run on this box.
     forwarder : Forwarder or None
-        Passes statements to other boxes; without one all are run here.
+        Forwards statements to other boxes; without one, all run on this box.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._transactions = TransactionRunner(state, rate_limiter, selector)
 
     async def run(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
-        """Return the one answer to ``statement``; always an answer, whatever fails."""
+        """Return the answer to ``statement``, a refusal if it fails."""
         reply = await self._run(session, statement, arrived_at)
         record_answer(self._state, session, statement, reply, arrived_at)
         return reply
@@ -140,7 +140,7 @@
     async def run_for_box(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
     ) -> Reply:
-        """Return the answer to another box's statement, which needs an endpoint."""
+        """Run a statement that another box forwarded; return the answer."""
         if session.transaction is not None:
             reply = await self._transactions.run(
                 session, session.transaction, statement, arrived_at
@@ -153,14 +153,14 @@
     def begin_for_box(
         self, session: Session, route: Route, read_only: bool, begun_at: float
     ) -> None:
-        """Open another box's transaction; its first statement chooses the endpoint."""
+        """Open another box's transaction; its first statement selects the endpoint."""
         self._transactions.begin(session, route, read_only, begun_at)
 
     def _route(self, session: Session) -> Route | None:
         return self._state.configuration.routes.get(session.database)
 
     def _bind_workspace(self, session: Session, route: Route) -> bool:
-        """Have the session belong to who holds its key now; False if nobody does."""
+        """Set the session's workspace by its key; return False if no workspace has the key."""
         match identify(self._state.configuration.workspaces, route, session.key_digest):
             case Member(workspace):
                 session.workspace = workspace
@@ -179,7 +179,7 @@
         return refused(RefusalKind.UNKNOWN_DATABASE, detail, session.state)
 
     def end_transaction(self, session: Session) -> None:
-        """Forget the open transaction; what it wrote is rolled back."""
+        """End the open transaction and roll it back."""
         transaction = session.transaction
         if self._forwarder is not None and transaction is not None and transaction.remote:
             self._forwarder.drop(session, transaction)
@@ -187,7 +187,7 @@
             self._transactions.end(session)
 
     def fail_transaction(self, session: Session) -> None:
-        """Give up the open transaction's connection; the caller is told at its next statement."""
+        """Fail the open transaction; its caller learns of it at the next statement."""
         transaction = session.transaction
         self._transactions.fail(session)
         if self._forwarder is not None and transaction is not None:
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -1,4 +1,4 @@
-"""Run transactions: each on one endpoint's connection from its first statement to its end."""
+"""Run transactions, each on one connection from its first statement to its end."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class TransactionRunner:
-    """Runs the statements of transactions of every session of this box."""
+    """Runs the transactions of every session of this box."""
 
     def __init__(
         self, state: SharedState, rate_limiter: RateLimiter, selector: EndpointSelector
@@ -50,12 +50,12 @@
         self._selector = selector
 
     def begin(self, session: Session, route: Route, read_only: bool, arrived_at: float) -> Reply:
-        """Open a transaction; its first statement chooses the endpoint."""
+        """Open a transaction; its first statement selects the endpoint."""
         session.transaction = OpenTransaction(route, read_only, arrived_at, arrived_at)
         return Reply(SessionState.IN_TRANSACTION)
 
     def end(self, session: Session) -> None:
-        """Forget the open transaction; what it wrote is rolled back."""
+        """End the open transaction and roll it back."""
         transaction, session.transaction = session.transaction, None
         if transaction is None:
             return
@@ -65,13 +65,13 @@
             self._state.roll_back(connection)
 
     def _stop_counting(self, transaction: OpenTransaction) -> None:
-        """Let a planned change of primary wait for ``transaction`` no longer."""
+        """Remove ``transaction`` from those that a planned failover waits for."""
         if transaction.counted:
             transaction.counted = False
             self._state.work.transaction_ended(transaction.route.group)
 
     def fail(self, session: Session) -> None:
-        """Give up the open transaction's connection; the caller is told at its next statement."""
+        """Fail the open transaction and close its connection."""
         transaction = session.transaction
         assert transaction is not None
         transaction.failed = True
@@ -103,7 +103,7 @@
         return reply
 
     async def _bind_admitted(self, routed: RoutedStatement, transaction: OpenTransaction) -> None:
-        """Open the transaction, which is one operation, if the allowance has room for it."""
+        """Open the transaction if the allowance admits it; it counts as one operation."""
         admission = await self._rate_limiter.admit(routed.session.workspace)
         try:
             await self._bind(routed, transaction, admission)
@@ -151,11 +151,11 @@
                 if reply.refusal.kind is RefusalKind.NOT_PRIMARY:
                     await trio.sleep(BUSY_RETRY_S)
         raise StatementRefusedError(
-            RefusalKind.ROLLED_BACK, "no endpoint began it in time", Cause.NO_ANSWER
+            RefusalKind.ROLLED_BACK, "no endpoint began the transaction in time", Cause.NO_ANSWER
         )
 
     async def _execute(self, routed: RoutedStatement, transaction: OpenTransaction) -> Reply:
-        """Run a statement on the transaction's own connection."""
+        """Run a statement on the transaction's connection."""
         connection: PooledConnection = transaction.connection
         commits = isinstance(routed.body, Commit)
         if commits and transaction.wrote and not self._state.may_acknowledge(connection.pool.row):
@@ -185,7 +185,7 @@
     async def _send_until_accepted(
         connection: PooledConnection, query: EndpointQuery, until: float
     ) -> Reply:
-        """Ask until the endpoint is not too busy to run the query."""
+        """Send the query, with retries while the endpoint is too busy to run it."""
         for _ in range(BUSY_TRIES):
             reply = await connection.ask(query)
             if reply.refusal is None or reply.refusal.kind is not RefusalKind.NO_CAPACITY:
@@ -198,7 +198,7 @@
     async def _handle_reply(
         self, routed: RoutedStatement, transaction: OpenTransaction, reply: Reply, asked_at: float
     ) -> Reply:
-        """Take in an endpoint's reply; return the caller's."""
+        """Process an endpoint's reply; return the reply to the caller."""
         session = routed.session
         connection: PooledConnection = transaction.connection
         row = connection.pool.row
@@ -228,7 +228,7 @@
 def _lost_reply_refusal(
     session: Session, transaction: OpenTransaction, commits: bool, why: str
 ) -> StatementRefusedError:
-    """Return the refusal of a statement whose answer was lost."""
+    """Return the refusal of a statement whose reply was lost."""
     if commits and transaction.wrote:
         session.unsettled.add(transaction.route.group)
         detail = f"{why}; it may have been committed"
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -1,4 +1,4 @@
-"""What all tasks of a session proxy share: configuration, endpoints, leases, positions, work."""
+"""State shared by all tasks of a session proxy: configuration, endpoints, leases, positions."""
 
 from __future__ import annotations
 
@@ -29,25 +29,25 @@
     from wharftiller.decisions import DecisionLog
 
 ROLL_BACK_TIMEOUT_S = 1.0
-"""Time to roll a transaction back before its connection is closed instead, in seconds."""
+"""Timeout of a rollback, in seconds; the connection is closed after it."""
 
 PRIMARY_EXPECTED_S = 2.5
-"""How long after a primary fell silent another is still expected soon, in seconds.
+"""Time after a primary became unresponsive during which a new one is expected, in seconds.
 
-Detection (1.2 s), every box's word and the promotion itself (0.3 to 0.6 s).
+Covers detection, the release of every box's lease, and the promotion.
 """
 
 INITIAL_FAILOVER_S = 1.0
-"""Time that a change of primary is taken to need before one was seen, in seconds.
+"""Assumed duration of a failover until one has been observed, in seconds.
 
-The promotion (0.3 to 0.6 s), every box's word and two updates of the record.
+Covers the release of every box's lease, the promotion, and two updates of the record.
 """
 
 FAILOVER_WEIGHT = 0.3
-"""Weight of the newest change of primary in the smoothed time that one takes."""
+"""Weight of the newest failover in the smoothed duration of failovers."""
 
 RECORD_EXPECTED_S = 1.0
-"""How long after a change was recorded, or a lease ran out, the next is expected, in seconds."""
+"""Time within which an update follows a recorded failover or an expired lease, in seconds."""
 
 
 class SharedState:
@@ -56,22 +56,22 @@
     Parameters
     ----------
     box, data_centre : str
-        This box's name and where it stands.
+        This box's name and data centre.
     nursery : trio.Nursery
-        Where work goes on that no statement waits for.
+        Runs background work that no statement waits for.
 
     Attributes
     ----------
     check_soon : trio.Event
-        Set to have the leases checked without waiting for the next time.
+        Set to renew the leases now instead of at the next interval.
     serves_group : callable
-        Whether this box runs a group's statements by itself; `Gateways` sets it.
+        Returns whether this box runs a group's statements itself; set by `Gateways`.
     failover_s : float
-        How long changes of primary took lately, from the first record to the last, in seconds.
+        Smoothed duration of failovers, from the first record to the last, in seconds.
     platform_away : bool
-        Whether the platform did not answer this box's last read.
+        Whether the platform failed to answer this box's last read.
     told_usable : dict of str to bool
-        For groups whose statements are passed on, whether their home said last that it
+        For groups whose statements are forwarded, whether the gateway last reported that it
         can use the primary.
     """
 
@@ -113,11 +113,11 @@
 
     @property
     def knowledge(self) -> StateVersions:
-        """What this box knows of configuration and endpoints."""
+        """Versions of the configuration and the endpoints that this box has."""
         return StateVersions(self.version, self.endpoints.revision, self.endpoints.digest)
 
     def take_configuration(self, configuration: SessionConfiguration, source: str) -> bool:
-        """Put a newer configuration in force; an older one is passed over."""
+        """Put a newer configuration in force; ignore an older one."""
         if configuration.version <= self.configuration.version:
             return False
         old, self.configuration = self.configuration.version, configuration
@@ -130,11 +130,11 @@
     # Leadership ---------------------------------------------------------
 
     def lead(self, group: str) -> str | None:
-        """Return the primary that the record names, even while it is being replaced."""
+        """Return the recorded primary, the old one during a failover."""
         return self.leases.record.lead(group)
 
     def startable(self, group: str) -> EndpointRow | None:
-        """Return the primary that new writes and primary reads may be sent to now."""
+        """Return the primary if new writes and primary reads may be sent to it now."""
         lease = self.leases.may_start(group, trio.current_time())
         row = self.endpoints.rows.get(lease.endpoint) if lease is not None else None
         if row is None or not row.may_still_lead(trio.current_time()):
@@ -142,19 +142,19 @@
         return row
 
     def lacks_lease(self, group: str) -> bool:
-        """Return whether a primary is recorded that this box may not use, though others may.
+        """Return whether a primary is recorded but this box has no lease to use it.
 
-        So it is for a box that starts while the platform is away.
+        This is so for a box that starts while the platform is unavailable.
         """
         leads = isinstance(self.leases.record.groups.get(group), Leading)
         return leads and self.leases.may_start(group, trio.current_time()) is None
 
     def may_acknowledge(self, row: EndpointRow) -> bool:
-        """Return whether ``row`` surely is the only primary of its group now."""
+        """Return whether ``row`` is guaranteed to be the only primary of its group now."""
         return self.leases.may_acknowledge(row.entry.group, row.name, trio.current_time())
 
     async def confirm_primary(self, row: EndpointRow, timeout_s: float) -> bool:
-        """Wait until a check shows that ``row`` still leads; False if none does in time."""
+        """Wait until a lease check confirms ``row`` as primary; False if none does in time."""
         self.check_soon.set()
         with trio.move_on_after(timeout_s):
             while not self.may_acknowledge(row):
@@ -166,13 +166,13 @@
         return False
 
     def primary_expected(self, group: str) -> bool:
-        """Return whether a usable primary is likely to be known within a second or so."""
+        """Return whether a usable primary is expected within about a second."""
         now = trio.current_time()
         match self.leases.record.groups.get(group):
             case FailingOver(planned=True) | FailingOver(ordered=True):
                 return True
             case FailingOver():
-                # Decided within moments, or else a silent box's lease is waited for.
+                # Decided soon, unless it waits for the lease of an unresponsive box to expire.
                 return now - self._record_at < RECORD_EXPECTED_S
             case Leading(is_unverified=True):
                 return False
@@ -188,7 +188,7 @@
                 return True
 
     def primary_availability(self, group: str) -> PrimaryAvailability:
-        """Return what is known of a primary that cannot be used now."""
+        """Return why ``group``'s primary cannot be used now, as far as known."""
         now = trio.current_time()
         match self.leases.record.groups.get(group):
             case FailingOver(planned=planned, ordered=ordered):
@@ -203,7 +203,7 @@
                 return PrimaryAvailability()
 
     def _measure_failovers(self) -> None:
-        """Learn how long changes of primary take."""
+        """Update the smoothed duration of failovers."""
         now = trio.current_time()
         if self.leases.record.moving:
             self._failover_since = now if self._failover_since is None else self._failover_since
@@ -213,11 +213,11 @@
             self._failover_since = None
 
     async def leadership_changed(self) -> None:
-        """Wait until something about endpoints, leases or the configuration changes."""
+        """Wait until the endpoints, the leases or the configuration change."""
         await self._changed.wait()
 
     def wake(self) -> None:
-        """Wake everyone who waits for a change."""
+        """Wake all tasks that wait for a change."""
         if self._record_seen != self.leases.record.revision:
             self._record_seen = self.leases.record.revision
             self._record_at = trio.current_time()
@@ -225,18 +225,18 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    # What answers tell --------------------------------------------------
+    # Replies of endpoints -----------------------------------------------
 
     def learn_position(
         self, row: EndpointRow, position: LogPosition | None, asked_at: float
     ) -> None:
-        """Note the primary's log position in an answer to what was asked at ``asked_at``."""
+        """Record the primary's log position from the reply to a request of ``asked_at``."""
         self.metrics.statements[row.name, "done"] += 1
         if position is not None and self.may_acknowledge(row):
             self.positions.learn(row.entry.group, position, asked_at)
 
     def learn_refusal(self, row: EndpointRow, refusal: Refusal, after: LogPosition | None) -> None:
-        """Note what an endpoint's refusal tells of it."""
+        """Record an endpoint's refusal and what it implies."""
         self.metrics.statements[row.name, refusal.kind.value] += 1
         match refusal.kind:
             case RefusalKind.REPLICA_BEHIND if after is not None:
@@ -247,7 +247,7 @@
                 pass
 
     def roll_back(self, connection: PooledConnection) -> None:
-        """Roll back in the background, then give the connection back."""
+        """Roll back in the background, then release the connection."""
         self._nursery.start_soon(self._roll_back, connection)
 
     async def _roll_back(self, connection: PooledConnection) -> None:
