--- a/wharftiller/daemons/sessions/gauges.py
+++ b/wharftiller/daemons/sessions/gauges.py
@@ -23,31 +23,29 @@
 ) -> Iterator[Gauge]:
     """Yield every gauge."""
     now = trio.current_time()
-    yield _single_gauge(
-        "configuration_version", "Version of the configuration in force.", state.version
-    )
-    yield _single_gauge(
+    yield _plain("configuration_version", "Version of the configuration in force.", state.version)
+    yield _plain(
         "endpoints_revision",
         "Platform revision of the list of endpoints.",
         state.endpoints.revision,
     )
-    yield _single_gauge("sessions", "Open callers' connections.", len(admission))
-    yield _single_gauge(
+    yield _plain("sessions", "Open callers' connections.", len(admission))
+    yield _plain(
         "sessions_room", "Further callers' connections that can be accepted.", admission.room
     )
-    yield _single_gauge("buckets_kept", "Workspaces whose token buckets this box serves.", buckets)
-    yield _single_gauge(
+    yield _plain("buckets_kept", "Workspaces whose token buckets this box serves.", buckets)
+    yield _plain(
         "record_revision", "Revision of the leadership record.", state.leases.record.revision
     )
-    yield _single_gauge("record_fence", "Fence of the last failover.", state.leases.record.fence)
-    yield _single_gauge("boxes_listed", "Other boxes listed.", len(directory.boxes))
-    yield _single_gauge(
+    yield _plain("record_fence", "Fence of the last failover.", state.leases.record.fence)
+    yield _plain("boxes_listed", "Other boxes listed.", len(directory.boxes))
+    yield _plain(
         "boxes_answering",
         "Other boxes that answered the last lease renewal.",
         len(directory.replies),
     )
     read_age_s = now - directory.platform_read_at
-    yield _single_gauge(
+    yield _plain(
         "platform_read_age_seconds",
         "Age of the newest platform read by any box, in seconds.",
         read_age_s,
@@ -56,7 +54,7 @@
     yield from _by_endpoint(state, now)
 
 
-def _single_gauge(name: str, help_text: str, value: float) -> Gauge:
+def _plain(name: str, help_text: str, value: float) -> Gauge:
     return Gauge(name, help_text, (), [((), float(value))])
 
 
