--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -41,7 +41,7 @@
 """Maximum number of endpoints tried for one read."""
 
 SentBody = Direct | Execute | Commit
-"""Bodies of statements that are sent to an endpoint unchanged."""
+"""Bodies of statements that are sent to an endpoint."""
 
 
 class StatementRefusedError(Exception):
