--- a/wharftiller/daemons/sessions/gauges.py
+++ b/wharftiller/daemons/sessions/gauges.py
@@ -1,4 +1,4 @@
-"""What a session proxy believes now, as gauges for its page of metrics."""
+"""Gauges of a session proxy's current state for its metrics page."""
 
 from __future__ import annotations
 
@@ -18,30 +18,36 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 
-def believed(
-    state: SharedState, directory: BoxDirectory, door: ConnectionAdmission, buckets: int
+def state_gauges(
+    state: SharedState, directory: BoxDirectory, admission: ConnectionAdmission, buckets: int
 ) -> Iterator[Gauge]:
     """Yield every gauge."""
     now = trio.current_time()
-    yield _plain("configuration_version", "Version in force.", state.version)
+    yield _plain("configuration_version", "Version of the configuration in force.", state.version)
     yield _plain(
-        "endpoints_revision", "Platform revision of the endpoints known.", state.endpoints.revision
+        "endpoints_revision",
+        "Platform revision of the list of endpoints.",
+        state.endpoints.revision,
     )
-    yield _plain("sessions", "Callers' connections open.", len(door))
-    yield _plain("sessions_room", "Callers' connections that can be taken.", door.room)
-    yield _plain("buckets_kept", "Workspaces whose tokens this box grants.", buckets)
+    yield _plain("sessions", "Open callers' connections.", len(admission))
     yield _plain(
-        "record_revision", "Revision of the record of leadership.", state.leases.record.revision
+        "sessions_room", "Further callers' connections that can be accepted.", admission.room
     )
-    yield _plain("record_fence", "Fence of the last change of primary.", state.leases.record.fence)
+    yield _plain("buckets_kept", "Workspaces whose token buckets this box serves.", buckets)
+    yield _plain(
+        "record_revision", "Revision of the leadership record.", state.leases.record.revision
+    )
+    yield _plain("record_fence", "Fence of the last failover.", state.leases.record.fence)
     yield _plain("boxes_listed", "Other boxes listed.", len(directory.boxes))
     yield _plain(
-        "boxes_answering", "Other boxes that answered the last round.", len(directory.replies)
+        "boxes_answering",
+        "Other boxes that answered the last lease renewal.",
+        len(directory.replies),
     )
     read_age_s = now - directory.platform_read_at
     yield _plain(
         "platform_read_age_seconds",
-        "Age of the newest read of the platform by any box.",
+        "Age of the newest platform read by any box, in seconds.",
         read_age_s,
     )
     yield from _by_group(state, now)
@@ -53,7 +59,7 @@
 
 
 def _by_group(state: SharedState, now: float) -> Iterator[Gauge]:
-    leaders, terms, left, ages = [], [], [], []
+    leaders, terms, remaining, ages = [], [], [], []
     for group, known in state.leases.record.groups.items():
         lead = state.lead(group) or ""
         leaders.append(((group, lead, "leading" if isinstance(known, Leading) else "moving"), 1.0))
@@ -61,14 +67,23 @@
         if lease is not None:
             terms.append(((group,), float(lease.term)))
             remaining_s = lease.checked_at + LEASE_S - now if lease.valid(now) else 0.0
-            left.append(((group,), remaining_s))
+            remaining.append(((group,), remaining_s))
         newest = state.positions.of_group(group).newest
         if newest is not None:
             ages.append(((group,), now - newest.at))
-    yield Gauge("primary", "The primary believed in.", ("group", "endpoint", "state"), leaders)
-    yield Gauge("term", "Its term when it was recorded.", ("group",), terms)
-    yield Gauge("lease_left_seconds", "Time for which it may be used.", ("group",), left)
-    yield Gauge("point_age_seconds", "Age of the newest known log position.", ("group",), ages)
+    yield Gauge(
+        "primary", "The recorded primary of each group.", ("group", "endpoint", "state"), leaders
+    )
+    yield Gauge("term", "Term of the primary in its lease.", ("group",), terms)
+    yield Gauge(
+        "lease_left_seconds",
+        "Remaining time of the primary's lease, in seconds.",
+        ("group",),
+        remaining,
+    )
+    yield Gauge(
+        "point_age_seconds", "Age of the newest known log position, in seconds.", ("group",), ages
+    )
 
 
 def _by_endpoint(state: SharedState, now: float) -> Iterator[Gauge]:
@@ -81,7 +96,14 @@
         used.append(((name,), float(pool.in_use)))
         suspect.append(((name,), float(row.is_suspect(now))))
         service.append(((name,), row.service_s))
-    yield Gauge("connections", "Connections open or opening.", ("endpoint",), open_)
-    yield Gauge("connections_wanted", "Connections in use, and waiters.", ("endpoint",), used)
-    yield Gauge("endpoint_suspect", "Whether it is silent.", ("endpoint",), suspect)
-    yield Gauge("service_seconds", "Smoothed service time.", ("endpoint",), service)
+    yield Gauge("connections", "Open and opening connections.", ("endpoint",), open_)
+    yield Gauge(
+        "connections_wanted", "Connections in use plus waiting statements.", ("endpoint",), used
+    )
+    yield Gauge(
+        "endpoint_suspect",
+        "Whether the endpoint is suspected to be unresponsive.",
+        ("endpoint",),
+        suspect,
+    )
+    yield Gauge("service_seconds", "Smoothed service time, in seconds.", ("endpoint",), service)
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -1,4 +1,4 @@
-"""Callers' connections of this box: takes them while it has room, tells what it refused."""
+"""Admission of callers' connections: accepts, sheds and refuses them by the box's limits."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     from wharftiller.core.sessions.connection_limits import BoxLimits
     from wharftiller.daemons.sessions.state import SharedState
 
-TOLD_S = 1.0
-"""Time between log lines of callers refused or sent away, in seconds."""
+LOG_INTERVAL_S = 1.0
+"""Minimum time between log lines on refused and shed callers, in seconds."""
 
 
 @attrs.define(eq=False)
@@ -27,28 +27,28 @@
     Attributes
     ----------
     waiting : trio.CancelScope or None
-        Ends its wait for the caller; None while nothing is waited for.
-    sent_away : bool
-        Whether it ends as soon as nothing of its caller is under way.
+        Cancels the wait for the caller's input; None unless it waits.
+    is_shed : bool
+        Whether it closes as soon as no statement or transaction is open.
     """
 
     waiting: trio.CancelScope | None = None
-    sent_away: bool = False
+    is_shed: bool = False
 
     def send_away(self) -> None:
-        """End the connection; a statement that is under way is answered first."""
-        self.sent_away = True
+        """Close the connection once its current statement is answered."""
+        self.is_shed = True
         if self.waiting is not None:
             self.waiting.cancel()
 
 
 class ConnectionAdmission:
-    """The door of one box.
+    """Admits callers' connections to one box.
 
     Parameters
     ----------
     open_streams : callable
-        Returns how many connections other than callers' are open.
+        Returns the number of open connections other than callers'.
     """
 
     def __init__(
@@ -56,74 +56,74 @@
     ) -> None:
         self._state = state
         self._open_streams = open_streams
-        self._door: ConnectionLimiter[CallerConnection] = ConnectionLimiter(limits)
-        self._told_at = 0.0
+        self._limiter: ConnectionLimiter[CallerConnection] = ConnectionLimiter(limits)
+        self._logged_at = 0.0
         self._refused = 0
-        self._sent_away = 0
+        self._shed = 0
 
     def __len__(self) -> int:
-        return len(self._door)
+        return len(self._limiter)
 
     @property
     def room(self) -> int:
-        """How many callers' connections can be taken."""
-        return self._door.room
+        """Number of further callers' connections that can be accepted."""
+        return self._limiter.room
 
     @property
     def is_nearly_full(self) -> bool:
-        """Whether new callers are better sent to other boxes."""
-        return self._door.is_nearly_full
+        """Whether new callers should be directed to other boxes."""
+        return self._limiter.is_nearly_full
 
     def enter(self) -> CallerConnection | None:
-        """Take one more connection; None if there is no room for it."""
+        """Accept a connection, shedding an idle one if needed; None if the box is full."""
         now = trio.current_time()
-        self._door.note_own(self._open_streams())
-        if self._door.is_full and not self._make_room(now):
+        self._limiter.note_own(self._open_streams())
+        if self._limiter.is_full and not self._make_room(now):
             self._refused += 1
             self._state.metrics.doors["refused"] += 1
             return None
         caller = CallerConnection()
-        self._door.came(caller, now)
+        self._limiter.came(caller, now)
         self._state.metrics.doors["taken"] += 1
         return caller
 
     def _make_room(self, now: float) -> bool:
-        leaving = self._door.who_leaves(now)
-        if leaving is None:
+        closing = self._limiter.who_leaves(now)
+        if closing is None:
             return False
-        self._door.left(leaving)
-        leaving.send_away()
-        self._sent_away += 1
+        self._limiter.left(closing)
+        closing.send_away()
+        self._shed += 1
         self._state.metrics.doors["sent_away"] += 1
         return True
 
     def refusal(self) -> str:
-        """Return what a caller that was not taken is told: the next try reaches another box."""
+        """Return the error text for a refused caller, whose next attempt may reach another box."""
         return f"{len(self)} sessions are open here; come back in {MIN_RETRY_AFTER_S * 1000:.0f} ms"
 
-    def rests(self, caller: CallerConnection) -> None:
-        """Note that a session waits for its caller, outside any transaction."""
-        self._door.rests(caller, trio.current_time())
+    def mark_idle(self, caller: CallerConnection) -> None:
+        """Record that a session waits for its caller, outside any transaction."""
+        self._limiter.rests(caller, trio.current_time())
 
-    def works(self, caller: CallerConnection) -> None:
-        """Note that a session has a statement under way."""
-        self._door.works(caller)
+    def mark_busy(self, caller: CallerConnection) -> None:
+        """Record that a session runs a statement."""
+        self._limiter.works(caller)
 
     def leave(self, caller: CallerConnection) -> None:
-        """Note that a connection ended."""
-        self._door.left(caller)
+        """Record that a connection was closed."""
+        self._limiter.left(caller)
 
     def maintain(self, now: float) -> None:
-        """Count the box's own connections; tell what was refused, a line at most a second."""
-        self._door.note_own(self._open_streams())
-        if now - self._told_at < TOLD_S or not (self._refused or self._sent_away):
+        """Count the box's own connections; log refused and shed callers, rate limited."""
+        self._limiter.note_own(self._open_streams())
+        if now - self._logged_at < LOG_INTERVAL_S or not (self._refused or self._shed):
             return
-        self._told_at = now
+        self._logged_at = now
         self._state.log.event(
             "door_full",
             refused=self._refused,
-            sent_away=self._sent_away,
+            sent_away=self._shed,
             open=len(self),
             room=self.room,
         )
-        self._refused = self._sent_away = 0
+        self._refused = self._shed = 0
--- a/wharftiller/daemons/sessions/serving/drain.py
+++ b/wharftiller/daemons/sessions/serving/drain.py
@@ -1,4 +1,4 @@
-"""Let sessions and other boxes' statements end before the process does."""
+"""Drain sessions and forwarded statements before the process ends."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
     from wharftiller.daemons.sessions.forwarding.executor import ForwardedExecutor
     from wharftiller.daemons.sessions.serving.callers import SessionServer
 
-LAST_MOMENT_S = 0.5
-"""Time kept before the platform kills a stopping process, in seconds."""
+KILL_MARGIN_S = 0.5
+"""Time reserved before the platform kills a stopping process, in seconds."""
 
 DRAIN_POLL_S = 0.05
-"""Time between looks at whether all sessions have ended, in seconds."""
+"""Interval of checks whether all sessions have ended, in seconds."""
 
 
 class Drain:
-    """Ends what a stopping box serves; never cuts a request."""
+    """Drains a stopping box without interrupting a statement."""
 
-    def __init__(self, sessions: SessionServer, for_others: ForwardedExecutor) -> None:
+    def __init__(self, sessions: SessionServer, executor: ForwardedExecutor) -> None:
         self._sessions = sessions
-        self._for_others = for_others
+        self._executor = executor
 
     async def run(self, started: float, grace_s: float) -> None:
-        """Return once all has ended, at the latest just before the grace time is over.
+        """Return once everything has ended, at the latest shortly before the grace time is over.
 
         Parameters
         ----------
         started : float
-            When the box was told to stop, in seconds.
+            When the box was ordered to stop, in seconds.
         grace_s : float
             Time from then on until the process is killed, in seconds.
         """
         await trio.sleep(BALANCER_SEES_S)
         self._sessions.close_idle()
-        await self._until_ended(started + grace_s / 2)
+        await self._wait_until_ended(started + grace_s / 2)
         self._sessions.close_all()
-        await self._until_ended(started + grace_s - LAST_MOMENT_S)
+        await self._wait_until_ended(started + grace_s - KILL_MARGIN_S)
 
-    async def _until_ended(self, until: float) -> None:
-        while (self._sessions.count or self._for_others.count) and trio.current_time() < until:
+    async def _wait_until_ended(self, until: float) -> None:
+        while (self._sessions.count or self._executor.count) and trio.current_time() < until:
             await trio.sleep(DRAIN_POLL_S)
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -1,4 +1,4 @@
-"""Answer every statement of callers' sessions, each by the runner of its kind."""
+"""Answer the statements of sessions, each by the runner of its kind."""
 
 from __future__ import annotations
 
@@ -39,23 +39,23 @@
     Parameters
     ----------
     gate : RateLimiter
-        Admits operations that are run here.
+        Admits operations that run on this box.
     forwarder : Forwarder or None
-        Passes statements to other boxes; without one all are run here.
+        Forwards statements to other boxes; without one, all run on this box.
     """
 
     def __init__(
-        self, state: SharedState, gate: RateLimiter, forwarder: Forwarder | None = None
+        self, state: SharedState, rate_limiter: RateLimiter, forwarder: Forwarder | None = None
     ) -> None:
         self._state = state
         self._forwarder = forwarder
-        chooser = EndpointSelector(state)
+        selector = EndpointSelector(state)
         self.patience = ReadTimeouts()
-        self._singles = AutocommitRunner(state, gate, chooser, self.patience)
-        self._transactions = TransactionRunner(state, gate, chooser)
+        self._autocommit = AutocommitRunner(state, rate_limiter, selector, self.patience)
+        self._transactions = TransactionRunner(state, rate_limiter, selector)
 
     async def run(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
-        """Return the one answer to ``statement``; always an answer, whatever fails."""
+        """Return the answer to ``statement``, a refusal if it fails."""
         reply = await self._run(session, statement, arrived_at)
         record_answer(self._state, session, statement, reply, arrived_at)
         return reply
@@ -82,7 +82,7 @@
             case _ if transaction is not None:
                 return await self._in_transaction(session, transaction, statement, arrived_at)
             case _:
-                return await self._single(session, statement, arrived_at)
+                return await self._run_autocommit(session, statement, arrived_at)
         return Reply(session.state)
 
     def _after_failure(self, session: Session, statement: Statement) -> Reply:
@@ -103,22 +103,24 @@
             return refused(RefusalKind.MALFORMED, "a transaction is open already", session.state)
         route = self._route(session)
         if route is None:
-            return self._no_route(session)
+            return self._refuse_unknown_database(session)
         if not self._bind_workspace(session, route):
-            return self._no_workspace(session)
+            return self._refuse_unknown_key(session)
         return self._transactions.begin(session, route, read_only, arrived_at)
 
-    async def _single(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
+    async def _run_autocommit(
+        self, session: Session, statement: Statement, arrived_at: float
+    ) -> Reply:
         route = self._route(session)
         if route is None:
-            return self._no_route(session)
+            return self._refuse_unknown_database(session)
         if not self._bind_workspace(session, route):
-            return self._no_workspace(session)
+            return self._refuse_unknown_key(session)
         if self._forwarder is not None:
             reply = await self._forwarder.single(session, route, statement, arrived_at)
             if reply is not None:
                 return reply
-        return await self._singles.run(session, route, statement, arrived_at)
+        return await self._autocommit.run(session, route, statement, arrived_at)
 
     async def _in_transaction(
         self,
@@ -138,27 +140,27 @@
     async def run_for_box(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
     ) -> Reply:
-        """Return the answer to another box's statement, which needs an endpoint."""
+        """Run a statement that another box forwarded; return the answer."""
         if session.transaction is not None:
             reply = await self._transactions.run(
                 session, session.transaction, statement, arrived_at
             )
         else:
-            reply = await self._singles.run(session, route, statement, arrived_at)
+            reply = await self._autocommit.run(session, route, statement, arrived_at)
         record_forwarded(self._state, session, statement, reply, arrived_at)
         return reply
 
     def begin_for_box(
         self, session: Session, route: Route, read_only: bool, begun_at: float
     ) -> None:
-        """Open another box's transaction; its first statement chooses the endpoint."""
+        """Open another box's transaction; its first statement selects the endpoint."""
         self._transactions.begin(session, route, read_only, begun_at)
 
     def _route(self, session: Session) -> Route | None:
         return self._state.configuration.routes.get(session.database)
 
     def _bind_workspace(self, session: Session, route: Route) -> bool:
-        """Have the session belong to who holds its key now; False if nobody does."""
+        """Set the session's workspace by its key; return False if no workspace has the key."""
         match identify(self._state.configuration.workspaces, route, session.key_digest):
             case Member(workspace):
                 session.workspace = workspace
@@ -168,16 +170,16 @@
                 return False
         return True
 
-    def _no_workspace(self, session: Session) -> Reply:
+    def _refuse_unknown_key(self, session: Session) -> Reply:
         detail = f"no workspace holds this session's key in version {self._state.version}"
         return refused(RefusalKind.UNKNOWN_KEY, detail, session.state)
 
-    def _no_route(self, session: Session) -> Reply:
+    def _refuse_unknown_database(self, session: Session) -> Reply:
         detail = f"no route leads to {session.database} in version {self._state.version}"
         return refused(RefusalKind.UNKNOWN_DATABASE, detail, session.state)
 
     def end_transaction(self, session: Session) -> None:
-        """Forget the open transaction; what it wrote is rolled back."""
+        """End the open transaction and roll it back."""
         transaction = session.transaction
         if self._forwarder is not None and transaction is not None and transaction.remote:
             self._forwarder.drop(session, transaction)
@@ -185,7 +187,7 @@
             self._transactions.end(session)
 
     def fail_transaction(self, session: Session) -> None:
-        """Give up the open transaction's connection; the caller is told at its next statement."""
+        """Fail the open transaction; its caller learns of it at the next statement."""
         transaction = session.transaction
         self._transactions.fail(session)
         if self._forwarder is not None and transaction is not None:
