--- a/wharftiller/core/sessions/allowances/__init__.py
+++ b/wharftiller/core/sessions/allowances/__init__.py
@@ -1,13 +1,13 @@
-"""How many operations of a workspace run, dealt out so that no window ever holds too many.
+"""Rate limits of workspaces: tokens granted so that no sliding window exceeds the bound.
 
-Over all boxes, cut off from one another or not, at most ``(rate x window + burst) x
-(1 + overrun) + slack`` operations of a workspace may run in any window. Each data centre
-owns an equal part of that and lends what it does not use (`shares`). In a data centre
-one box, the workspace's keeper (rendezvous hashing over the boxes listed), grants tokens from a
-bucket; boxes that run operations take a few tokens ahead.
+Over all boxes, partitioned or not, at most ``(rate x window + burst) x (1 + overrun) + slack``
+operations of a workspace may run in any window. Each data centre owns an equal share of that
+and lends what it does not use (`shares`). In a data centre one box, the workspace's token server
+(rendezvous hashing over the boxes listed), grants tokens from a bucket; boxes that run
+operations prefetch a few tokens.
 
-Load it answers: one workspace that asks 4 to 8 times its usual, wholly in one data centre or
-in all, while boxes restart, keepers change and data centres are cut off.
+The bound holds for one workspace at 4 to 8 times its usual load, in one data centre or in all,
+while boxes restart, token servers change and data centres are cut off.
 """
 
 from __future__ import annotations
--- a/wharftiller/core/sessions/allowances/bounds.py
+++ b/wharftiller/core/sessions/allowances/bounds.py
@@ -1,4 +1,4 @@
-"""What the platform counts as too much, and what of it each data centre owns and grants from."""
+"""The bound on a workspace's operations, and each data centre's share and bucket size."""
 
 from __future__ import annotations
 
@@ -10,36 +10,33 @@
     from wharftiller.core.sessions.workspaces import Allowance
 
 TOKEN_LIFE_S = 1.0
-"""Time from a grant until its operation is sent to an endpoint at the latest, in seconds.
+"""Maximum time from a grant until its operation is sent to an endpoint, in seconds.
 
-A box uses a token within `PREFETCH_S`. An operation that then waits for longer than what is left
-takes another one before it is sent.
+A box uses a token within `PREFETCH_S`. An operation that then waits longer than the remaining
+time takes another token before it is sent.
 """
 
 GRANTED_FRACTION = 0.9
-"""Part of the bound that the keepers of all data centres grant together.
+"""Fraction of the bound that the token servers of all data centres grant together.
 
-What a keeper that takes over grants beyond, not knowing what the one before granted, stays within
-what buckets and hand-overs leave unused: `TestHistories` looks at the fullest window.
+The rest absorbs grants of a previous token server that its successor does not know of.
 """
 
 MIN_BURST = 8.0
-"""Operations at once that each data centre grants even to a small workspace.
-
-Its callers come at random: now and then several at once, through one data centre.
-"""
+"""Minimum burst of a data centre in operations, also for a small workspace, whose callers may
+arrive several at once through one data centre."""
 
 
 @attrs.frozen
 class AllowanceBounds:
-    """What the platform counts as too much.
+    """The bound that no workspace may exceed.
 
     Attributes
     ----------
     window_s : float
         Length of the sliding window, in seconds.
     overrun : float
-        Part of the allowance that may run beyond it.
+        Fraction of the allowance that may run beyond it.
     slack : float
         Operations that may run beyond that.
     centres : tuple of str
@@ -53,32 +50,32 @@
 
     @property
     def data_centres(self) -> int:
-        """How many data centres there are."""
+        """Number of data centres, at least 1."""
         return max(1, len(self.centres))
 
     def most(self, allowance: Allowance) -> float:
         """Return how many operations may run in any window, over all boxes."""
-        asked = allowance.rate_per_s * self.window_s + allowance.burst
-        return asked * (1 + self.overrun) + self.slack
+        allowed = allowance.rate_per_s * self.window_s + allowance.burst
+        return allowed * (1 + self.overrun) + self.slack
 
 
 @attrs.frozen
 class BucketSize:
-    """What one data centre grants of an allowance.
+    """Limits of one data centre's token bucket.
 
     Attributes
     ----------
     rate_per_s : float
-        Tokens that come in a second.
+        Tokens added per second.
     burst : float
-        Most that it holds.
-    most : float
-        Most that it grants within any ``span_s`` seconds.
+        Maximum number of tokens held.
+    max_in_span : float
+        Maximum number of tokens granted within any ``span_s`` seconds.
     """
 
     rate_per_s: float
     burst: float
-    most: float
+    max_in_span: float
     span_s: float
 
 
@@ -90,10 +87,10 @@
 
 
 def bucket_size(allowance: Allowance, share: float, bounds: AllowanceBounds) -> BucketSize:
-    """Return the size of the bucket that a keeper grants ``share`` operations a window from.
+    """Return the size of a bucket that grants ``share`` operations per window.
 
-    In any window a keeper's tokens are used at most ``share`` times; where another took over
-    meanwhile, at most ``burst`` times more, as its bucket starts empty.
+    In any window at most ``share`` of one token server's tokens are used; after a change of
+    token server at most ``burst`` more, as the new bucket starts empty.
     """
     span_s = bounds.window_s + TOKEN_LIFE_S
     burst = min(max(allowance.burst / bounds.data_centres, MIN_BURST), share / 2)
--- a/wharftiller/core/sessions/allowances/buckets.py
+++ b/wharftiller/core/sessions/allowances/buckets.py
@@ -1,4 +1,4 @@
-"""A keeper's bucket of tokens, and the tokens that another box took from it ahead."""
+"""A token server's bucket, and the tokens that another box prefetched from it."""
 
 from __future__ import annotations
 
@@ -12,171 +12,170 @@
     from wharftiller.core.sessions.allowances.bounds import BucketSize
 
 PREFETCH_S = 0.5
-"""Time for which a box may use a token that it took ahead, in seconds: a token taken for nothing
-is lost, and one question in half a second costs a box nothing."""
+"""Time for which a box may use a prefetched token, in seconds."""
 
 MAX_PREFETCHED = 8
-"""Tokens that a box takes ahead at most."""
+"""Maximum number of tokens that a box prefetches."""
 
 MAX_AHEAD_S = 8.0
-"""Callers are told to come back for tokens of the next so many seconds; later ones as late."""
+"""Maximum retry-after time given to a refused caller, in seconds."""
 
 
 @attrs.define
 class TokenBucket:
-    """Tokens that come at a rate, up to a number at once and to another in a span of time.
+    """Token bucket that also limits the tokens granted within a sliding span of time.
 
     Parameters
     ----------
     level : float
-        What it holds at first.
+        Tokens held initially.
     at : float
-        When that was, in seconds.
+        Time of that level, in seconds.
     """
 
     size: BucketSize
     _level: float
     _at: float
-    _granted: collections.deque[tuple[float, int]] = attrs.field(factory=collections.deque)
+    _grants: collections.deque[tuple[float, int]] = attrs.field(factory=collections.deque)
     _in_span: int = 0
-    _promised_until: float = -math.inf
+    _last_retry_at: float = -math.inf
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         gained = max(0.0, now - self._at) * self.size.rate_per_s
         self._level = min(self.size.burst, self._level + gained)
         self._at = now
-        while self._granted and self._granted[0][0] <= now - self.size.span_s:
-            self._in_span -= self._granted.popleft()[1]
+        while self._grants and self._grants[0][0] <= now - self.size.span_s:
+            self._in_span -= self._grants.popleft()[1]
 
     def resize(self, size: BucketSize, now: float) -> None:
-        """Grant by another size from now on; a smaller one binds at once.
+        """Apply another size from ``now`` on; a smaller one limits at once.
 
-        Where the share grew, the first token of what is new comes at once.
+        After growth the bucket holds at least one token.
         """
-        self._fill(now)
-        grew = size.most > self.size.most + 1
+        self._refill(now)
+        has_grown = size.max_in_span > self.size.max_in_span + 1
         self.size = size
-        self._level = min(max(self._level, 1.0) if grew else self._level, size.burst)
+        self._level = min(max(self._level, 1.0) if has_grown else self._level, size.burst)
 
-    def unused(self, now: float) -> float:
-        """Return how many more may be granted in this span."""
-        self._fill(now)
-        return max(0.0, self.size.most - self._in_span)
+    def remaining_in_span(self, now: float) -> float:
+        """Return how many more tokens may be granted in the current span."""
+        self._refill(now)
+        return max(0.0, self.size.max_in_span - self._in_span)
 
     def take(self, wanted: int, now: float) -> int:
-        """Return how many of ``wanted`` tokens are granted."""
-        self._fill(now)
-        granted = max(0, min(wanted, int(self._level), int(self.size.most - self._in_span)))
+        """Take up to ``wanted`` tokens and return how many were granted."""
+        self._refill(now)
+        granted = max(0, min(wanted, int(self._level), int(self.size.max_in_span - self._in_span)))
         if granted:
             self._level -= granted
-            self._granted.append((now, granted))
+            self._grants.append((now, granted))
             self._in_span += granted
         return granted
 
-    def give_back(self, unused: int, now: float) -> None:
-        """Take back tokens that lapsed without an operation.
+    def refund(self, unused: int, now: float) -> None:
+        """Return tokens that expired unused.
 
-        They count as the oldest ones granted, whichever they were: those that ran stay counted
-        for long enough.
+        They are taken off the oldest grants, so that tokens that were used stay counted for long
+        enough.
         """
-        self._fill(now)
+        self._refill(now)
         self._level = min(self.size.burst, self._level + unused)
-        while unused and self._granted:
-            at, granted = self._granted.popleft()
-            taken = min(unused, granted)
-            unused -= taken
-            self._in_span -= taken
-            if granted > taken:
-                self._granted.appendleft((at, granted - taken))
-
-    def _first_at(self, now: float) -> float:
-        """Return when the next token comes, in seconds, at a rate above 0."""
-        first_at = now + max(0.0, 1.0 - self._level) / self.size.rate_per_s
-        if self._in_span + 1 > self.size.most and self._granted:
-            return max(first_at, self._granted[0][0] + self.size.span_s)
-        return first_at
-
-    def next_in_s(self, now: float) -> float:
-        """Return when a caller that got none should come back, in seconds from now.
-
-        Callers refused together are told the times of one token after the other.
+        while unused and self._grants:
+            at, granted = self._grants.popleft()
+            refunded = min(unused, granted)
+            unused -= refunded
+            self._in_span -= refunded
+            if granted > refunded:
+                self._grants.appendleft((at, granted - refunded))
+
+    def _next_token_at(self, now: float) -> float:
+        """Return when the next token is available, in seconds; the rate must be above 0."""
+        next_at = now + max(0.0, 1.0 - self._level) / self.size.rate_per_s
+        if self._in_span + 1 > self.size.max_in_span and self._grants:
+            return max(next_at, self._grants[0][0] + self.size.span_s)
+        return next_at
+
+    def retry_after_s(self, now: float) -> float:
+        """Return after how many seconds a refused caller should retry.
+
+        Callers refused together get the times of successive tokens.
         """
         rate = self.size.rate_per_s
         if rate <= 0:
             return MAX_AHEAD_S
-        turn_at = max(self._first_at(now), self._promised_until + 1 / rate)
-        if turn_at - now > MAX_AHEAD_S:
+        retry_at = max(self._next_token_at(now), self._last_retry_at + 1 / rate)
+        if retry_at - now > MAX_AHEAD_S:
             return MAX_AHEAD_S
-        self._promised_until = turn_at
-        return turn_at - now
+        self._last_retry_at = retry_at
+        return retry_at - now
 
 
 @attrs.define
 class PrefetchedTokens:
-    """Tokens of one workspace that a box took ahead.
+    """Tokens of one workspace that a box prefetched.
 
     Attributes
     ----------
     tokens : int
-    until : float
-        When they lapse, in seconds.
-    keeper : str
-        Who granted them.
+    expires_at : float
+        When they expire, in seconds.
+    token_server : str
+        The box that granted them.
     """
 
     tokens: int = 0
-    until: float = -math.inf
-    keeper: str = ""
-    _asked_at: float = -math.inf
+    expires_at: float = -math.inf
+    token_server: str = ""
+    _requested_at: float = -math.inf
     _used: int = 0
-    _lapsed: int = 0
+    _expired: int = 0
 
     def use(self, now: float) -> bool:
-        """Use one; False if there is none."""
-        if not self.tokens or now >= self.until:
+        """Use one token; return False if there is none."""
+        if not self.tokens or now >= self.expires_at:
             return False
         self.tokens -= 1
         self._used += 1
         return True
 
-    def give_back(self, now: float) -> None:
-        """Take back one whose operation did not run."""
-        if now < self.until:
+    def refund(self, now: float) -> None:
+        """Return the token of an operation that did not run."""
+        if now < self.expires_at:
             self.tokens += 1
 
-    def lapse_one(self) -> None:
-        """Note that one that was used lapsed before its operation was sent."""
-        self._lapsed += 1
+    def record_expired(self) -> None:
+        """Record that a used token expired before its operation was sent."""
+        self._expired += 1
 
-    def lapsed(self, keeper: str, now: float) -> int:
-        """Return how many of those that ``keeper`` granted lapsed since this was asked last.
+    def take_expired(self, token_server: str, now: float) -> int:
+        """Return the tokens of ``token_server`` that expired since the last call, and reset them.
 
-        Another keeper does not hear of them: its own grants ran.
+        Only the box that granted them is sent their number.
         """
-        if now >= self.until:
-            self._lapsed += self.tokens
+        if now >= self.expires_at:
+            self._expired += self.tokens
             self.tokens = 0
-        lapsed, self._lapsed = self._lapsed, 0
-        return lapsed if keeper == self.keeper else 0
-
-    def wanted(self, now: float) -> int:
-        """Return how many to ask for: as many as were used lately within `PREFETCH_S`."""
-        elapsed_s = max(now - self._asked_at, PREFETCH_S)
-        pace = (self._used + 1) / elapsed_s
-        self._asked_at = now
+        expired, self._expired = self._expired, 0
+        return expired if token_server == self.token_server else 0
+
+    def next_request_size(self, now: float) -> int:
+        """Return how many tokens to request: as many as recent use needs within `PREFETCH_S`."""
+        elapsed_s = max(now - self._requested_at, PREFETCH_S)
+        use_rate = (self._used + 1) / elapsed_s
+        self._requested_at = now
         self._used = 0
-        return max(1, min(MAX_PREFETCHED, int(pace * PREFETCH_S)))
-
-    def granted(self, tokens: int, asked_at: float, keeper: str) -> None:
-        """Add what ``keeper`` granted to a question of ``asked_at`` (seconds)."""
-        until = asked_at + PREFETCH_S
-        if keeper != self.keeper:
-            self.tokens = self._lapsed = 0
-            self.keeper = keeper
-        if self.tokens and self.until > asked_at:
-            until = min(until, self.until)
+        return max(1, min(MAX_PREFETCHED, int(use_rate * PREFETCH_S)))
+
+    def add(self, tokens: int, requested_at: float, token_server: str) -> None:
+        """Add what ``token_server`` granted to a request sent at ``requested_at`` (seconds)."""
+        expires_at = requested_at + PREFETCH_S
+        if token_server != self.token_server:
+            self.tokens = self._expired = 0
+            self.token_server = token_server
+        if self.tokens and self.expires_at > requested_at:
+            expires_at = min(expires_at, self.expires_at)
         else:
-            self._lapsed += self.tokens
+            self._expired += self.tokens
             self.tokens = 0
         self.tokens += tokens
-        self.until = until
+        self.expires_at = expires_at
--- a/wharftiller/core/sessions/allowances/shares.py
+++ b/wharftiller/core/sessions/allowances/shares.py
@@ -1,14 +1,14 @@
-"""How data centres lend one another parts of a workspace's allowance.
+"""Loans between data centres of shares of a workspace's allowance.
 
-Each data centre owns an equal part of what may run in a window. Callers of a small workspace
-often all come through one of them; its keeper there then borrows from the keepers of the others,
-which lend only what they have not used. Nobody has to agree with anybody beyond that pair, a cut
-leaves each side with what it holds, and a loan that is not renewed lapses by itself.
+Each data centre owns an equal share of what may run in a window. Where most callers of a workspace
+connect through one data centre, its token server borrows from those of the others, which lend only
+what they have not used. A loan concerns only these two; in a partition each side keeps
+what it holds, and a loan that is not renewed expires.
 
-What is lent twice would break the bound, so: a borrower counts a loan's time from its question, a
-lender until a whole window after that time from its answer; and a keeper that took over, which
-does not know what the one before lent, counts as lent all that it could have been until the
-borrower's keeper has told what it holds.
+Lending the same operations twice would break the bound. So a borrower counts a loan's time from
+its request; a lender counts it from its reply, plus one window. A new token server, which does not
+know what its predecessor lent, counts the maximum as lent until the borrower's token server has
+reported what it holds.
 """
 
 from __future__ import annotations
@@ -22,62 +22,61 @@
     from collections.abc import Iterable
 
 LOAN_S = 8.0
-"""Time for which a loan may be used, in seconds: longer than most cuts of a data centre last."""
+"""Time for which a loan may be used, in seconds: longer than most partitions of a data centre."""
 
 RENEWED_FRACTION = 0.5
-"""Part of a loan's time after which it is renewed, if it is still needed."""
+"""Fraction of a loan's time after which it is renewed, if it is still needed."""
 
 LENDABLE_FRACTION = 0.95
-"""Part of its own that a data centre lends to all others together.
+"""Fraction of its own share that a data centre lends to all others together.
 
-The rest is what a keeper that took over beside a cut starts with.
+The rest is what a new token server starts with during a partition.
 """
 
 RETRY_S = 0.4
-"""Time between questions for one workspace's loans, in seconds: while it asks for more than it
-may run all keepers are short, and a question each time would only tell them so."""
+"""Time between loan requests for one workspace, in seconds; limits requests under overload, when
+no token server has anything to lend."""
 
-
-HANDED_OVER_S = 1.0
-"""Time without a question from a data centre's keeper after which another of its boxes gets the
-loan, in seconds: longer than lists of boxes differ, which name several keepers at once when all
-boxes return."""
+BORROWER_TIMEOUT_S = 1.0
+"""Time without a request from the borrowing token server after which another box of its data
+centre may take over the loan, in seconds: longer than boxes with different lists take each other's
+place after a restart of all boxes."""
 
 
 @attrs.frozen
 class Loan:
-    """A part of one data centre's own that another one may use.
+    """A part of one data centre's share that another one may use.
 
     Attributes
     ----------
     amount : float
         Operations within a window.
-    until : float
-        When it ends for the side that keeps this, in seconds.
+    expires_at : float
+        When it ends for the side that records it, in seconds.
     """
 
     amount: float = 0.0
-    until: float = -math.inf
+    expires_at: float = -math.inf
 
-    def left(self, now: float) -> float:
-        """Return what of it still counts."""
-        return self.amount if now < self.until else 0.0
+    def amount_at(self, now: float) -> float:
+        """Return the amount, or 0 once the loan has expired."""
+        return self.amount if now < self.expires_at else 0.0
 
 
 @attrs.frozen
 class LoanRequest:
-    """What a keeper asks the keeper of another data centre.
+    """Request of a token server to the token server of another data centre.
 
     Attributes
     ----------
     borrower : str
-        The asking keeper's data centre.
+        The requesting token server's data centre.
     keeper : str
-        The asking keeper.
+        The requesting token server.
     held : float
-        What it holds of the asked one's.
+        Operations within a window that it has already borrowed from the receiver's share.
     more : bool
-        Whether it is short.
+        Whether it needs more than that.
     """
 
     borrower: str
@@ -87,29 +86,30 @@
 
 
 @attrs.frozen
-class _Asked:
-    """Who asked for a data centre's loan last.
+class _LastRequest:
+    """The last loan request of a data centre.
 
     Attributes
     ----------
     at : float
-        When, in seconds.
+        When it was received, in seconds.
     """
 
-    keeper: str
+    token_server: str
     at: float
 
 
 @attrs.frozen
 class LoanReply:
-    """What the asked keeper answers.
+    """Reply to a `LoanRequest`.
 
     Attributes
     ----------
     lent : float
-        All that the asking data centre may use of its own for `LOAN_S` from the question on.
+        Total that the borrower may use of the lender's share for `LOAN_S` from its request on,
+        in operations within a window.
     held : float
-        What it holds of the asking one's.
+        What the lender has borrowed from the borrower's share.
     """
 
     lent: float
@@ -117,14 +117,16 @@
 
 
 class AllowanceShare:
-    """What one data centre's keeper of one workspace may grant within a window.
+    """What a token server may grant of one workspace within a window, with loans.
 
     Parameters
     ----------
+    own : float
+        The data centre's own share, in operations within a window.
     others : iterable of str
         The other data centres.
     since : float
-        When this box became the keeper, in seconds.
+        When this box became the token server, in seconds.
     span_s : float
         Length of the window for which operations count, in seconds.
     """
@@ -134,91 +136,96 @@
         self._others = tuple(others)
         self._span_s = span_s
         self._lent: dict[str, Loan] = {}
-        self._held: dict[str, Loan] = {}
-        self._asked_by: dict[str, _Asked] = {}
-        # Until then a keeper before this one may have lent as much as may be lent.
-        self._unsure_until = dict.fromkeys(self._others, since + LOAN_S + span_s)
-        self._asked_at = -math.inf
+        self._borrowed: dict[str, Loan] = {}
+        self._last_requests: dict[str, _LastRequest] = {}
+        # Until then a previous token server may have lent the maximum.
+        self._unconfirmed_until = dict.fromkeys(self._others, since + LOAN_S + span_s)
+        self._requested_at = -math.inf
 
     @property
-    def _most_to_one(self) -> float:
-        """Most that another data centre may hold of this one's."""
+    def _max_loan(self) -> float:
+        """Maximum loan to one other data centre."""
         return self._own * LENDABLE_FRACTION / max(1, len(self._others))
 
     def resize(self, own: float) -> None:
         """Own another amount from now on; loans stay what they are until they end."""
         self._own = own
 
-    def _counted_as_lent(self, other: str, now: float) -> float:
-        if now < self._unsure_until[other]:
-            return self._most_to_one
-        return self._lent.get(other, Loan()).left(now)
+    def _presumed_lent(self, other: str, now: float) -> float:
+        if now < self._unconfirmed_until[other]:
+            return self._max_loan
+        return self._lent.get(other, Loan()).amount_at(now)
 
     def amount(self, now: float) -> float:
         """Return how many operations may be granted within a window."""
-        lent = sum(self._counted_as_lent(other, now) for other in self._others)
-        held = sum(loan.left(now) for loan in self._held.values())
+        lent = sum(self._presumed_lent(other, now) for other in self._others)
+        held = sum(loan.amount_at(now) for loan in self._borrowed.values())
         return max(0.0, self._own - lent) + held
 
     # Borrowing --------------------------------------------------------------
 
-    def wants(self, is_short: bool, now: float) -> bool:
-        """Return whether to ask the others now: being short, or for loans that soon end."""
-        if not self._others or now - self._asked_at < RETRY_S:
+    def should_request(self, is_short: bool, now: float) -> bool:
+        """Return whether to send loan requests now: for more, or to renew loans."""
+        if not self._others or now - self._requested_at < RETRY_S:
             return False
         renew_at = LOAN_S * (1 - RENEWED_FRACTION)
-        return is_short or any(0 < loan.until - now < renew_at for loan in self._held.values())
+        return is_short or any(
+            0 < loan.expires_at - now < renew_at for loan in self._borrowed.values()
+        )
 
-    def questions(
-        self, centre: str, keeper: str, is_short: bool, now: float
+    def loan_requests(
+        self, centre: str, token_server: str, is_short: bool, now: float
     ) -> dict[str, LoanRequest]:
-        """Return what ``keeper`` of ``centre`` asks the keeper of each other data centre."""
-        self._asked_at = now
-        held = {other: self._held.get(other, Loan()).left(now) for other in self._others}
-        return {other: LoanRequest(centre, keeper, held[other], is_short) for other in self._others}
-
-    def take(self, lender: str, answer: LoanReply, asked_at: float, now: float) -> None:
-        """Take in the answer to a question of ``asked_at`` (seconds)."""
-        self._held[lender] = Loan(answer.lent, asked_at + LOAN_S)
-        self._note_held(lender, answer.held, now)
+        """Return the requests of ``token_server`` in ``centre``, by other data centre."""
+        self._requested_at = now
+        held = {other: self._borrowed.get(other, Loan()).amount_at(now) for other in self._others}
+        return {
+            other: LoanRequest(centre, token_server, held[other], is_short)
+            for other in self._others
+        }
+
+    def accept_loan(self, lender: str, reply: LoanReply, requested_at: float, now: float) -> None:
+        """Record the reply to a request sent at ``requested_at`` (seconds)."""
+        self._borrowed[lender] = Loan(reply.lent, requested_at + LOAN_S)
+        self._confirm_lent(lender, reply.held, now)
 
     # Lending ----------------------------------------------------------------
 
-    def lend(self, question: LoanRequest, unused: float, now: float) -> LoanReply:
-        """Return what the asking data centre may use of this one's own from now on.
+    def lend(self, request: LoanRequest, unused: float, now: float) -> LoanReply:
+        """Return what the requesting data centre may use of this one's share from now on.
 
         Parameters
         ----------
         unused : float
-            What of `amount` was not granted within the last window: lending only that keeps
-            this and the next windows of both together within it.
+            Operations of `amount` not granted within the last window. Lending only these keeps
+            every window of both data centres together within the bound.
         """
-        borrower = question.borrower
-        if borrower not in self._unsure_until:
+        borrower = request.borrower
+        if borrower not in self._unconfirmed_until:
             return LoanReply(0.0, 0.0)
-        if not self._is_handed_over(question, now):
-            return LoanReply(0.0, self._held.get(borrower, Loan()).left(now))
-        self._note_held(borrower, question.held, now)
-        lent = self._lent.get(borrower, Loan()).left(now)
-        if question.more:
-            lent += max(0.0, min(self._most_to_one - lent, unused))
+        if not self._may_borrow(request, now):
+            return LoanReply(0.0, self._borrowed.get(borrower, Loan()).amount_at(now))
+        self._confirm_lent(borrower, request.held, now)
+        lent = self._lent.get(borrower, Loan()).amount_at(now)
+        if request.more:
+            lent += max(0.0, min(self._max_loan - lent, unused))
         if lent:
             self._lent[borrower] = Loan(lent, now + LOAN_S + self._span_s)
-        return LoanReply(lent, self._held.get(borrower, Loan()).left(now))
+        return LoanReply(lent, self._borrowed.get(borrower, Loan()).amount_at(now))
 
-    def _is_handed_over(self, question: LoanRequest, now: float) -> bool:
-        """Return whether the asking keeper, and no other of its data centre, holds the loan."""
-        last = self._asked_by.get(question.borrower)
-        is_other = last is not None and last.keeper != question.keeper
-        if last is not None and is_other and now - last.at < HANDED_OVER_S:
+    def _may_borrow(self, request: LoanRequest, now: float) -> bool:
+        """Return whether the requesting box may borrow: no other of its data centre does."""
+        last = self._last_requests.get(request.borrower)
+        is_other_box = last is not None and last.token_server != request.keeper
+        if last is not None and is_other_box and now - last.at < BORROWER_TIMEOUT_S:
             return False
-        self._asked_by[question.borrower] = _Asked(question.keeper, now)
+        self._last_requests[request.borrower] = _LastRequest(request.keeper, now)
         return True
 
-    def _note_held(self, other: str, held: float, now: float) -> None:
-        """Learn what another data centre's keeper holds of this one's."""
-        if now >= self._unsure_until[other]:
+    def _confirm_lent(self, other: str, held: float, now: float) -> None:
+        """Replace the maximum presumed lent to a data centre by what it reports as borrowed."""
+        if now >= self._unconfirmed_until[other]:
             return
-        self._unsure_until[other] = -math.inf
+        self._unconfirmed_until[other] = -math.inf
         if held:
             self._lent[other] = Loan(held, now + LOAN_S + self._span_s)
--- a/wharftiller/core/sessions/allowances/token_allocator.py
+++ b/wharftiller/core/sessions/allowances/token_allocator.py
@@ -1,4 +1,4 @@
-"""Who keeps a workspace's bucket in a data centre, and the buckets that one box keeps."""
+"""The choice of a workspace's token server, and the buckets that one box serves."""
 
 from __future__ import annotations
 
@@ -20,35 +20,36 @@
     from wharftiller.core.sessions.allowances.shares import LoanReply, LoanRequest
     from wharftiller.core.sessions.workspaces import Allowance, Workspace
 
-FIRST_TOKENS = 3.0
-"""What a new keeper's bucket holds: what the one before granted is not known to it. Callers of a
-small workspace that all come back at once need some at once."""
+INITIAL_TOKENS = 3.0
+"""Tokens in a new token server's bucket, which does not know what its predecessor granted; a few,
+as callers of a small workspace may all retry at once."""
 
 HISTORY_S = 10.0
-"""For how long lists of boxes are remembered, in seconds: longer than any bucket takes to fill."""
+"""Time for which lists of boxes are kept, in seconds: longer than any bucket takes to fill."""
 
 STANDBY_FRACTION = 0.1
-"""Part of its data centre's own that a box grants in place of a keeper that may live.
+"""Fraction of its data centre's share that a box grants beside a token server that may be alive.
 
-A keeper that is slow or cut off from some boxes goes on granting to the others, so both together
-must stay within the bound: what `GRANTED_FRACTION` leaves is for a stand-in in every data centre.
+A token server that is slow or partitioned from some boxes still grants to the others, and both
+together must stay within the bound. `GRANTED_FRACTION` leaves enough for one such box in every
+data centre.
 """
 
 SILENCE_S = 1.5
-"""Time without any answer after which a keeper is taken to grant no more, in seconds: a slow one
-answers one of several questions."""
+"""Time without a reply after which a token server is presumed to have stopped, in seconds: long
+enough for several probes, of which a slow box answers one."""
 
-FORGOTTEN_S = 30.0
-"""Time after which an unused bucket is forgotten, in seconds: longer than a loan counts as lent."""
+IDLE_BUCKET_S = 30.0
+"""Time after which an unused bucket is dropped, in seconds: longer than a loan counts as lent."""
 
 
 def token_server_order(workspace: str, names: Iterable[str]) -> list[str]:
-    """Return one data centre's boxes, the workspace's keeper first."""
+    """Return one data centre's boxes, the workspace's token server first."""
     return ranked(f"allowance {workspace}", names)
 
 
 class TokenServerHistory:
-    """Since when this box has been the keeper of each workspace, by the lists of boxes it had."""
+    """The recent lists of boxes, and since when they make this box a workspace's token server."""
 
     def __init__(self, box: str) -> None:
         self._box = box
@@ -57,7 +58,7 @@
 
     @property
     def box(self) -> str:
-        """The name of this box."""
+        """Name of this box."""
         return self._box
 
     @property
@@ -65,8 +66,8 @@
         """Whether the platform's list, which all boxes share, names this box."""
         return bool(self._lists) and self._box in self._lists[-1][1]
 
-    def note(self, names: Sequence[str], now: float) -> None:
-        """Note the boxes of this data centre that are listed from ``now`` (seconds) on."""
+    def record_list(self, names: Sequence[str], now: float) -> None:
+        """Record the boxes of this data centre that are listed from ``now`` (seconds) on."""
         if self._lists and self._lists[-1][1] == names:
             return
         self._lists.append((now, names))
@@ -74,32 +75,32 @@
         while len(self._lists) > 1 and self._lists[1][0] < now - HISTORY_S:
             self._lists.popleft()
 
-    def before(self, workspace: str) -> list[str]:
-        """Return the listed boxes that come before this one in the workspace's order."""
+    def preceding(self, workspace: str) -> list[str]:
+        """Return the listed boxes that precede this one in the workspace's order."""
         names = self._lists[-1][1] if self._lists else ()
         order = token_server_order(workspace, {*names, self._box})
         return order[: order.index(self._box)]
 
-    def since(self, workspace: str) -> float | None:
-        """Return since when it has kept ``workspace``'s bucket; None if it does not."""
-        kept: float | None = None
+    def served_since(self, workspace: str) -> float | None:
+        """Return since when this box has served ``workspace``'s bucket; None if it does not."""
+        served_since: float | None = None
         for since, names in reversed(self._lists):
             if self._box not in names or token_server_order(workspace, names)[0] != self._box:
                 break
-            kept = since
-        return kept
+            served_since = since
+        return served_since
 
 
 @attrs.frozen
 class Grant:
-    """What a keeper grants.
+    """Reply of a token server.
 
     Attributes
     ----------
     tokens : int
-        Operations that may run.
+        Number of operations that may run.
     after_s : float
-        When to come back if there are none, in seconds.
+        Time after which to retry if there are none, in seconds.
     """
 
     tokens: int
@@ -108,31 +109,35 @@
 
 @attrs.define
 class _ServedBucket:
-    """A bucket and its share, and at which change of the list its keeper was looked at last.
+    """A workspace's bucket on this box, with its share.
 
     Attributes
     ----------
-    is_keeper : bool
-        Whether this box is the keeper by its own list.
+    is_token_server : bool
+        Whether this box is the token server by its own list.
+    checked_change : int
+        Number of list changes when that was checked last.
+    used_at : float
+        Time of the last use, in seconds.
     """
 
     bucket: TokenBucket
     share: AllowanceShare
-    is_keeper: bool
-    looked_at: int
+    is_token_server: bool
+    checked_change: int
     used_at: float
 
 
 @attrs.frozen
-class _Lives:
-    """Until when a box is taken to live, and when that was asked last, in seconds."""
+class _Liveness:
+    """Until when a box is presumed alive, and when it was probed last, in seconds."""
 
-    until: float
-    asked_at: float
+    alive_until: float
+    probed_at: float
 
 
 class TokenAllocator:
-    """The buckets that one box keeps.
+    """The buckets that one box serves.
 
     Parameters
     ----------
@@ -153,11 +158,11 @@
         self._history = history
         self._centre = centre
         self._others = tuple(others)
-        self._kept: dict[str, _ServedBucket] = {}
-        self._lives: dict[str, _Lives] = {}
+        self._buckets: dict[str, _ServedBucket] = {}
+        self._liveness: dict[str, _Liveness] = {}
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._buckets)
 
     def grant(self, workspace: Workspace, wanted: int, unused: int, now: float) -> Grant:
         """Grant up to ``wanted`` tokens of ``workspace``'s allowance.
@@ -165,115 +170,119 @@
         Parameters
         ----------
         unused : int
-            Tokens that the asking box got before and let lapse.
+            Tokens granted to the requesting box before that expired unused.
         """
         if workspace.allowance is None:
             return Grant(wanted)
-        bucket = self._look_up(workspace.name, workspace.allowance, now).bucket
-        bucket.give_back(unused, now)
+        bucket = self._current_bucket(workspace.name, workspace.allowance, now).bucket
+        bucket.refund(unused, now)
         tokens = bucket.take(wanted, now)
-        return Grant(tokens, 0.0 if tokens else bucket.next_in_s(now))
+        return Grant(tokens, 0.0 if tokens else bucket.retry_after_s(now))
 
-    def _look_up(self, name: str, allowance: Allowance, now: float) -> _ServedBucket:
-        """Return what is kept of a workspace, by its present allowance and loans."""
-        kept = self._kept.get(name)
+    def _current_bucket(self, name: str, allowance: Allowance, now: float) -> _ServedBucket:
+        """Return a workspace's bucket, resized for its current allowance and loans."""
+        served = self._buckets.get(name)
         changes = self._history.changes
-        if kept is None or kept.looked_at != changes:
-            since = self._history.since(name)
-            if kept is None or since is None or since > kept.used_at:
-                kept = self._kept[name] = self._take_over(allowance, since, now)
-            kept.looked_at = changes
-            kept.is_keeper = since is not None
-        kept.used_at = now
-        kept.share.resize(own_share(allowance, self._bounds))
-        amount = kept.share.amount(now)
-        if not kept.is_keeper and self._stands_beside(name, now):
+        if served is None or served.checked_change != changes:
+            since = self._history.served_since(name)
+            if served is None or since is None or since > served.used_at:
+                served = self._buckets[name] = self._new_bucket(allowance, since, now)
+            served.checked_change = changes
+            served.is_token_server = since is not None
+        served.used_at = now
+        served.share.resize(own_share(allowance, self._bounds))
+        amount = served.share.amount(now)
+        if not served.is_token_server and self._another_may_grant(name, now):
             amount = min(amount, STANDBY_FRACTION * own_share(allowance, self._bounds))
         size = bucket_size(allowance, amount, self._bounds)
-        if size != kept.bucket.size:
-            kept.bucket.resize(size, now)
-        return kept
+        if size != served.bucket.size:
+            served.bucket.resize(size, now)
+        return served
 
-    def _take_over(self, allowance: Allowance, since: float | None, now: float) -> _ServedBucket:
-        """Return a new keeper's bucket; it fills from when its box became the keeper."""
-        from_at = now if since is None else since
+    def _new_bucket(self, allowance: Allowance, since: float | None, now: float) -> _ServedBucket:
+        """Return a new bucket; it fills from when this box became the token server."""
+        filled_from = now if since is None else since
         span_s = self._bounds.window_s + TOKEN_LIFE_S
-        share = AllowanceShare(own_share(allowance, self._bounds), self._others, from_at, span_s)
+        share = AllowanceShare(
+            own_share(allowance, self._bounds), self._others, filled_from, span_s
+        )
         size = bucket_size(allowance, share.amount(now), self._bounds)
-        bucket = TokenBucket(size, min(FIRST_TOKENS, size.burst), from_at)
+        bucket = TokenBucket(size, min(INITIAL_TOKENS, size.burst), filled_from)
         return _ServedBucket(bucket, share, since is not None, self._history.changes, now)
 
-    def before(self, workspace: str) -> list[str]:
-        """Return the boxes that keep the workspace's bucket rather than this one."""
-        return self._history.before(workspace)
+    def preceding_boxes(self, workspace: str) -> list[str]:
+        """Return the boxes that precede this one as token server of the workspace."""
+        return self._history.preceding(workspace)
 
-    def note_probe(self, name: str, sign: ProbeOutcome, now: float) -> None:
-        """Note what a box that this one is asked in place of made of a question."""
-        known = self._lives.get(name)
-        match sign:
+    def note_probe(self, name: str, outcome: ProbeOutcome, now: float) -> None:
+        """Record the outcome of a probe of a box that this one stands in for."""
+        known = self._liveness.get(name)
+        match outcome:
             case ProbeOutcome.ANSWERED:
-                until = now + SILENCE_S
+                alive_until = now + SILENCE_S
             case ProbeOutcome.REFUSED:
-                until = now
+                alive_until = now
             case ProbeOutcome.SILENT:
-                was_asked_lately = known is not None and now - known.asked_at < SILENCE_S
-                until = known.until if known and was_asked_lately else now + SILENCE_S
-        self._lives[name] = _Lives(until, now)
-
-    def _may_live(self, name: str, now: float) -> bool:
-        """Return whether a box may grant; one that was not asked lately may."""
-        known = self._lives.get(name)
-        if known is None or now - known.asked_at > SILENCE_S:
+                is_recent = known is not None and now - known.probed_at < SILENCE_S
+                alive_until = known.alive_until if known and is_recent else now + SILENCE_S
+        self._liveness[name] = _Liveness(alive_until, now)
+
+    def _may_be_alive(self, name: str, now: float) -> bool:
+        """Return whether a box may be alive; True without a recent probe."""
+        known = self._liveness.get(name)
+        if known is None or now - known.probed_at > SILENCE_S:
             return True
-        return now < known.until
+        return now < known.alive_until
 
-    def _stands_beside(self, workspace: str, now: float) -> bool:
-        """Return whether a keeper in whose place this box is asked may grant as well.
+    def _another_may_grant(self, workspace: str, now: float) -> bool:
+        """Return whether a token server that this box stands in for may grant as well.
 
-        A box that is not listed knows of too few others to tell: when all start while the
-        platform is away, each may know only itself.
+        True for a box that is not listed: when all boxes start while the platform is
+        unavailable, each may know only itself.
         """
         if not self._history.is_listed:
             return True
-        return any(self._may_live(each, now) for each in self._history.before(workspace))
+        return any(self._may_be_alive(each, now) for each in self._history.preceding(workspace))
 
     # Loans between data centres -------------------------------------------------
 
-    def questions(self, workspace: Workspace, is_short: bool, now: float) -> dict[str, LoanRequest]:
-        """Return what to ask the keepers of other data centres now, if anything.
+    def loan_requests(
+        self, workspace: Workspace, is_short: bool, now: float
+    ) -> dict[str, LoanRequest]:
+        """Return the loan requests to send now, by data centre; empty if none are due.
 
         Parameters
         ----------
         is_short : bool
-            Whether a token was asked for in vain.
+            Whether a request for tokens was granted none.
         """
         if workspace.allowance is None:
             return {}
-        kept = self._look_up(workspace.name, workspace.allowance, now)
-        # Also one that is asked in place of a silent keeper has to learn what that one lent.
-        if not kept.share.wants(is_short, now):
+        served = self._current_bucket(workspace.name, workspace.allowance, now)
+        # Also where this box stands in for a token server, to learn what that one lent.
+        if not served.share.should_request(is_short, now):
             return {}
-        return kept.share.questions(self._centre, self._history.box, is_short, now)
+        return served.share.loan_requests(self._centre, self._history.box, is_short, now)
 
-    def take_loan(
-        self, workspace: Workspace, lender: str, answer: LoanReply, asked_at: float, now: float
+    def accept_loan(
+        self, workspace: Workspace, lender: str, reply: LoanReply, requested_at: float, now: float
     ) -> None:
-        """Take in what the keeper of the data centre ``lender`` answered."""
+        """Record the reply of the data centre ``lender`` to a request of ``requested_at``."""
         if workspace.allowance is not None:
-            kept = self._look_up(workspace.name, workspace.allowance, now)
-            kept.share.take(lender, answer, asked_at, now)
+            served = self._current_bucket(workspace.name, workspace.allowance, now)
+            served.share.accept_loan(lender, reply, requested_at, now)
 
-    def lend(self, workspace: Workspace, question: LoanRequest, now: float) -> LoanReply | None:
-        """Answer another data centre's keeper; None if this box is not the keeper here."""
+    def lend(self, workspace: Workspace, request: LoanRequest, now: float) -> LoanReply | None:
+        """Reply to a loan request; None if this box is not the workspace's token server."""
         if workspace.allowance is None:
             return None
-        kept = self._look_up(workspace.name, workspace.allowance, now)
-        if not kept.is_keeper:
+        served = self._current_bucket(workspace.name, workspace.allowance, now)
+        if not served.is_token_server:
             return None
-        return kept.share.lend(question, kept.bucket.unused(now), now)
+        return served.share.lend(request, served.bucket.remaining_in_span(now), now)
 
-    def forget_idle(self, now: float) -> None:
-        """Forget buckets that nobody asked for so long that they are full and no loan counts."""
-        for name, kept in list(self._kept.items()):
-            if now - kept.used_at > FORGOTTEN_S:
-                del self._kept[name]
+    def drop_idle(self, now: float) -> None:
+        """Drop buckets unused for so long that they are full and no loan counts."""
+        for name, served in list(self._buckets.items()):
+            if now - served.used_at > IDLE_BUCKET_S:
+                del self._buckets[name]
--- a/wharftiller/daemons/sessions/allowances/__init__.py
+++ b/wharftiller/daemons/sessions/allowances/__init__.py
@@ -1,1 +1,1 @@
-"""Allowances of workspaces: admit operations, grant tokens, lend between data centres."""
+"""Rate limits of workspaces: admit operations, grant tokens, lend between data centres."""
--- a/wharftiller/daemons/sessions/allowances/rate_limiter.py
+++ b/wharftiller/daemons/sessions/allowances/rate_limiter.py
@@ -27,28 +27,30 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 TOKEN_SERVERS_TRIED = 3
-"""Boxes asked one after the other before an operation is refused."""
+"""Boxes tried in turn before an operation is refused."""
 
 SILENT_S = 1.0
-"""Time for which a keeper that did not answer is passed over, in seconds."""
+"""Time for which a token server that did not answer is skipped, in seconds."""
 
+TOKEN_VALID_S = TOKEN_LIFE_S - PREFETCH_S
+"""Time from taking a token until its operation must be sent, in seconds.
 
-USED_WITHIN_S = TOKEN_LIFE_S - PREFETCH_S
-"""Time from taking a token until its operation must be sent, in seconds; keepers count on it."""
+Token servers count a token for `TOKEN_LIFE_S` after its grant.
+"""
 
 
 @attrs.define(eq=False)
 class Admission:
-    """The token of one operation.
+    """Admission of one operation, with its token.
 
     Attributes
     ----------
     taken_at : float
-        When it was taken, in seconds.
+        When the token was taken, in seconds.
     may_have_run : bool
-        Whether the operation was sent to an endpoint that did not say that it has not run it.
+        Whether the operation was sent to an endpoint that did not report that it was not run.
     holds_token : bool
-        Whether there is a token that can be given back.
+        Whether there is a token that can be returned.
     """
 
     workspace: Workspace | None
@@ -57,7 +59,7 @@
     holds_token: bool = False
 
     def did_not_run(self) -> None:
-        """Note that the endpoint said so: the token stands for the next try."""
+        """Record that the endpoint did not run it: the token is used for the next attempt."""
         self.may_have_run = False
 
 
@@ -66,18 +68,22 @@
 
     Parameters
     ----------
-    desk : TokenServer
-        Grants where this box is the keeper itself.
+    token_server : TokenServer
+        Grants where this box is the token server itself.
     """
 
     def __init__(
-        self, state: SharedState, directory: BoxDirectory, links: TokenClient, desk: TokenServer
+        self,
+        state: SharedState,
+        directory: BoxDirectory,
+        token_client: TokenClient,
+        token_server: TokenServer,
     ) -> None:
         self._state = state
         self._directory = directory
-        self._links = links
-        self._desk = desk
-        self._held: dict[str, PrefetchedTokens] = {}
+        self._token_client = token_client
+        self._token_server = token_server
+        self._prefetched: dict[str, PrefetchedTokens] = {}
         self._silent_until: dict[str, float] = {}
 
     async def admit(self, workspace: Workspace | None) -> Admission:
@@ -86,34 +92,34 @@
         Raises
         ------
         RateLimitedError
-            If the workspace has used its allowance, or no keeper answers.
+            If the workspace has used its allowance, or no token server answers.
         """
         admission = Admission(workspace, trio.current_time())
         await self._take(admission)
         return admission
 
     async def about_to_run(self, admission: Admission) -> None:
-        """Take another token if the one that was taken does not stand for what is sent now.
+        """Take another token if the operation's token does not cover the next attempt.
 
-        It does not where the operation waited for so long that its keeper counts it no more, and
-        where it may have run already, on an endpoint that did not answer or failed it.
+        It does not if the operation waited so long that the token server no longer counts the
+        token, or if an earlier attempt may have run on an endpoint that failed or did not answer.
 
         Raises
         ------
         RateLimitedError
-            If the workspace has used its allowance by now, or no keeper answers.
+            If the workspace has used its allowance by now, or no token server answers.
         """
-        is_late = trio.current_time() - admission.taken_at > USED_WITHIN_S
+        is_late = trio.current_time() - admission.taken_at > TOKEN_VALID_S
         if is_late and not admission.may_have_run:
-            self._note_lapsed(admission)
+            self._record_expired(admission)
         if is_late or admission.may_have_run:
             await self._take(admission)
         admission.may_have_run = True
 
-    def _note_lapsed(self, admission: Admission) -> None:
+    def _record_expired(self, admission: Admission) -> None:
         workspace = admission.workspace
-        if workspace is not None and workspace.name in self._held:
-            self._held[workspace.name].lapse_one()
+        if workspace is not None and workspace.name in self._prefetched:
+            self._prefetched[workspace.name].record_expired()
 
     async def _take(self, admission: Admission) -> None:
         workspace = admission.workspace
@@ -121,12 +127,12 @@
         admission.holds_token = False
         if workspace is None or workspace.allowance is None:
             return
-        held = self._held.setdefault(workspace.name, PrefetchedTokens())
-        if held.use(admission.taken_at):
+        prefetched = self._prefetched.setdefault(workspace.name, PrefetchedTokens())
+        if prefetched.use(admission.taken_at):
             admission.holds_token = True
             return
-        grant = await self._ask(workspace, held)
-        if held.use(trio.current_time()):
+        grant = await self._request_tokens(workspace, prefetched)
+        if prefetched.use(trio.current_time()):
             self._state.metrics.allowances["granted"] += 1
             admission.holds_token = True
             return
@@ -142,29 +148,29 @@
         """Return the token of an operation that did not run."""
         workspace = admission.workspace
         if workspace is not None and admission.holds_token and not admission.may_have_run:
-            self._held[workspace.name].give_back(trio.current_time())
+            self._prefetched[workspace.name].refund(trio.current_time())
 
-    async def _ask(self, workspace: Workspace, held: PrefetchedTokens) -> Grant:
-        """Take in and return what the workspace's keeper in this data centre grants.
+    async def _request_tokens(self, workspace: Workspace, prefetched: PrefetchedTokens) -> Grant:
+        """Request tokens from the workspace's token server; add and return what it grants.
 
         Raises
         ------
         RateLimitedError
-            If neither it nor who would follow it answers.
+            If neither it nor the boxes that stand in for it answer.
         """
         now = trio.current_time()
-        wanted = held.wanted(now)
+        wanted = prefetched.next_request_size(now)
         order = token_server_order(workspace.name, self._directory.list.near)
-        able = [each for each in order if self._silent_until.get(each, now) <= now]
-        for keeper in able[:TOKEN_SERVERS_TRIED]:
-            question = TokenRequest(workspace, wanted, held.lapsed(keeper, now))
+        candidates = [each for each in order if self._silent_until.get(each, now) <= now]
+        for name in candidates[:TOKEN_SERVERS_TRIED]:
+            request = TokenRequest(workspace, wanted, prefetched.take_expired(name, now))
             try:
-                grant = await self._ask_one(keeper, question)
+                grant = await self._request_from(name, request)
             except (ExchangeError, KeyError) as error:
-                self._silent_until[keeper] = trio.current_time() + SILENT_S
-                self._state.log.event("keeper_silent", other=keeper, why=str(error))
+                self._silent_until[name] = trio.current_time() + SILENT_S
+                self._state.log.event("keeper_silent", other=name, why=str(error))
                 continue
-            held.granted(grant.tokens, now, keeper)
+            prefetched.add(grant.tokens, now, name)
             return grant
         self._state.metrics.allowances["unanswered"] += 1
         raise RateLimitedError(
@@ -173,7 +179,7 @@
             SHORT_RETRY_AFTER_S,
         )
 
-    async def _ask_one(self, keeper: str, question: TokenRequest) -> Grant:
-        if keeper == self._state.box:
-            return await self._desk.grant(question)
-        return await self._links.ask_tokens(self._directory.boxes[keeper], question)
+    async def _request_from(self, name: str, request: TokenRequest) -> Grant:
+        if name == self._state.box:
+            return await self._token_server.grant(request)
+        return await self._token_client.request_tokens(self._directory.boxes[name], request)
--- a/wharftiller/daemons/sessions/allowances/token_client.py
+++ b/wharftiller/daemons/sessions/allowances/token_client.py
@@ -1,4 +1,4 @@
-"""Ask other boxes that keep workspaces' buckets, over kept connections."""
+"""Request tokens and loans from other boxes, over persistent connections."""
 
 from __future__ import annotations
 
@@ -26,53 +26,53 @@
 LOAN_PATH = "/peer/loan"
 
 TOKENS_TIMEOUT_S = 0.1
-"""Time a keeper has to grant, in seconds: some ten round trips in a data centre, and less than
-the goal of any urgent route."""
+"""Timeout of a token request, in seconds: several round trips in a data centre, and below the
+latency goal of urgent routes."""
 
 LOAN_TIMEOUT_S = 0.05
-"""Time that the keeper of another data centre has to lend, in seconds: the box that waits for the
-tokens waits twice as long."""
+"""Timeout of a loan request, in seconds: half of `TOKENS_TIMEOUT_S`, as a token request waits for
+the loans."""
 
 
 class TokenClient:
-    """Connections of one box to keepers."""
+    """Client of one box to the token servers on other boxes."""
 
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
         self._pools: dict[str, HttpPool] = {}
 
-    async def ask_tokens(self, keeper: Box, question: TokenRequest) -> Grant:
-        """Return what ``keeper`` grants.
+    async def request_tokens(self, box: Box, request: TokenRequest) -> Grant:
+        """Return what ``box`` grants.
 
         Raises
         ------
         ExchangeError
             If it does not answer in time.
         """
-        body = token_request_to_json(question)
-        return grant_from_json(await self._post(keeper, TOKENS_PATH, body, TOKENS_TIMEOUT_S))
+        body = token_request_to_json(request)
+        return grant_from_json(await self._post(box, TOKENS_PATH, body, TOKENS_TIMEOUT_S))
 
-    async def ask_loan(
-        self, keeper: Box, workspace: Workspace, question: LoanRequest
+    async def request_loan(
+        self, box: Box, workspace: Workspace, request: LoanRequest
     ) -> LoanReply | None:
-        """Return what ``keeper`` lends; None if it is not the keeper by its own list.
+        """Return what ``box`` lends; None if it is not the token server by its own list.
 
         Raises
         ------
         ExchangeError
             If it does not answer in time.
         """
-        body = loan_request_to_json(workspace, question)
-        return loan_reply_from_json(await self._post(keeper, LOAN_PATH, body, LOAN_TIMEOUT_S))
+        body = loan_request_to_json(workspace, request)
+        return loan_reply_from_json(await self._post(box, LOAN_PATH, body, LOAN_TIMEOUT_S))
 
-    async def _post(self, keeper: Box, path: str, body: Any, timeout_s: float) -> Any:
-        pool = self._pools.get(keeper.address)
+    async def _post(self, box: Box, path: str, body: Any, timeout_s: float) -> Any:
+        pool = self._pools.get(box.address)
         if pool is None:
-            pool = HttpPool(self._transport, keeper.address, TOKENS_TIMEOUT_S)
-            self._pools[keeper.address] = pool
+            pool = HttpPool(self._transport, box.address, TOKENS_TIMEOUT_S)
+            self._pools[box.address] = pool
         with trio.move_on_after(timeout_s):
             answer = await pool.post(path, body)
             if answer.status != 200:
-                raise ExchangeError(f"{keeper.name} answered {answer.status}")
+                raise ExchangeError(f"{box.name} answered {answer.status}")
             return answer.json()
-        raise ExchangeError(f"{keeper.name} answered nothing in time")
+        raise ExchangeError(f"{box.name} did not answer in time")
--- a/wharftiller/tests/core/sessions/allowances/histories.py
+++ b/wharftiller/tests/core/sessions/allowances/histories.py
@@ -1,6 +1,6 @@
-"""Random histories of allowances: boxes that restart, lists that lag, tokens used late, cuts.
+"""Random histories of allowances: restarts of boxes, stale lists, tokens used late, partitions.
 
-Written beside the rules, not from them: the ledger knows only which operations ran and when.
+Independent of the rules under test: only which operations ran, and when, is recorded.
 """
 
 from __future__ import annotations
@@ -31,105 +31,109 @@
 
 RUNNERS = 4
 SILENT_S = 1.0
-"""Time for which a keeper that did not answer is passed over, in seconds."""
+"""Time for which a token server that did not answer is skipped, in seconds."""
 
 DATA_CENTRES = 3
 CENTRES = tuple(str(number) for number in range(DATA_CENTRES))
-FIRST_ASKED_S = 12.0
-"""When callers come: boxes have started long before, in seconds."""
+FIRST_OPERATION_S = 12.0
+"""Time of the first operations, long after the boxes' start, in seconds."""
 
 LENGTH_S = 52.0
 CUT_AT_S = 26.0
-"""When the first data centre is cut off, in seconds: in the middle of the hot time."""
+"""When the first data centre is partitioned, in seconds: in the middle of the load peak."""
 
 SLOW_AT_S = 24.0
-"""When keepers turn slow, in seconds."""
+"""When token servers become slow, in seconds."""
 
-TIMED_OUT = 0.5
-"""Part of the questions to a slow keeper whose answer comes too late."""
+TIMED_OUT_FRACTION = 0.5
+"""Fraction of requests to a slow token server that time out."""
 
-SLOW_ANSWERS = 0.8
-"""Part of the questions whether it lives that a slow keeper answers in time."""
+SLOW_ANSWERED_FRACTION = 0.8
+"""Fraction of probes that a slow token server answers in time."""
 
 DOWN_S = (0.5, 2.0)
-USED_LATE_S = 0.5
+"""Shortest and longest time until a killed box starts again, in seconds."""
+
+MAX_USE_DELAY_S = 0.5
 """Longest time from taking a token to the operation's arrival at an endpoint, in seconds."""
 
 
 @attrs.define(eq=False)
 class Process:
-    """One process of one box, with its own view of the list."""
+    """One process of one box, with its own list of boxes."""
 
     name: str
-    keeper: TokenAllocator
+    allocator: TokenAllocator
     history: TokenServerHistory
     lag_s: float
-    held: PrefetchedTokens = attrs.field(factory=PrefetchedTokens)
+    prefetched: PrefetchedTokens = attrs.field(factory=PrefetchedTokens)
     silent_until: dict[str, float] = attrs.field(factory=dict)
 
 
 @attrs.frozen
-class Story:
-    """What happens in a history.
+class Scenario:
+    """Load and failures of a history.
 
     Attributes
     ----------
     weights : tuple of float
-        Part of the operations asked in each data centre.
-    asked_x : float
-        How many times its rate the workspace asks while it is hot.
+        Fraction of the operations requested in each data centre.
+    load_factor : float
+        Load of the workspace during its peak, in multiples of its rate.
     cut_s : float
-        For how long the first data centre is cut off from the others while it is hot.
-    lost : float
-        Part of the questions between data centres that are lost, or whose answers are.
+        Length of the first data centre's partition from the others during the peak, in seconds.
+    loss : float
+        Fraction of exchanges between data centres whose request or reply is lost.
     restarts : int
         Boxes restarted one after the other in each data centre.
     list_lag_s : float
-        By how much a box's list of boxes may be late, in seconds; readers read it every 0.8 s.
+        Maximum lag of a box's list of boxes, in seconds.
     slow_s : float
-        For how long the workspace's keeper in each data centre is slow while it is hot: half of
-        the questions of others wait too long for its grant, and are asked of the next box.
-    kept_lists_s : float
-        For how long no list changes meanwhile, as while the platform is away.
+        Time for which the token server in each data centre is slow during the peak, in seconds:
+        half of the token requests of other boxes time out and go to the next box.
+    frozen_lists_s : float
+        Time for which no list changes meanwhile, as while the platform is unavailable, in seconds.
     """
 
     allowance: Allowance
     weights: tuple[float, float, float] = (0.4, 0.35, 0.25)
-    asked_x: float = 5.0
+    load_factor: float = 5.0
     restarts: int = 6
     kill_all: bool = True
     list_lag_s: float = 1.5
     cut_s: float = 0.0
-    lost: float = 0.02
+    loss: float = 0.02
     slow_s: float = 0.0
-    kept_lists_s: float = 0.0
+    frozen_lists_s: float = 0.0
 
 
 class AllowanceHistory:
-    """Plays one history and counts."""
+    """Simulates one history and records when operations were requested and ran."""
 
-    def __init__(self, story: Story, seed: int, bounds: AllowanceBounds | None = None) -> None:
-        self._story = story
-        self._draw = random.Random(seed)
+    def __init__(
+        self, scenario: Scenario, seed: int, bounds: AllowanceBounds | None = None
+    ) -> None:
+        self._scenario = scenario
+        self._random = random.Random(seed)
         self.bounds = bounds or AllowanceBounds(centres=CENTRES)
-        self._workspace = Workspace("rila", story.allowance)
+        self._workspace = Workspace("rila", scenario.allowance)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
         self._now = 0.0
         self._live: list[dict[str, Process]] = [{} for _ in range(DATA_CENTRES)]
         self._lists: list[list[tuple[float, tuple[str, ...]]]] = [[] for _ in range(DATA_CENTRES)]
         self.ran_at: list[float] = []
-        self.asked_at: list[float] = []
+        self.requested_at: list[float] = []
 
-    def play(self) -> AllowanceHistory:
-        """Play it to its end."""
+    def simulate(self) -> AllowanceHistory:
+        """Run the simulation to its end and return this history."""
         for centre in range(DATA_CENTRES):
             for number in range(BOXES):
                 self._start(centre, f"box-{centre}-{number}")
             self._draw_restarts(centre)
-            self._ask_from(centre)
-        if self._story.kill_all:
-            self._at(self._draw.uniform(22.0, 42.0), self._kill_all)
+            self._start_operations(centre)
+        if self._scenario.kill_all:
+            self._at(self._random.uniform(22.0, 42.0), self._kill_all)
         while self._events:
             self._now, _, act = heapq.heappop(self._events)
             act()
@@ -137,19 +141,19 @@
         return self
 
     @property
-    def worst(self) -> float:
-        """The fullest window's operations over the most that may run."""
+    def max_window_use(self) -> float:
+        """Operations in the fullest window, as a fraction of the bound."""
         window_s = self.bounds.window_s
         ends = (bisect.bisect_left(self.ran_at, at + window_s) for at in self.ran_at)
         fullest = max((end - start for start, end in enumerate(ends)), default=0)
-        return fullest / self.bounds.most(self._story.allowance)
+        return fullest / self.bounds.most(self._scenario.allowance)
 
     @property
-    def owed(self) -> int:
-        """Operations that one bucket for all would have run."""
-        allowance = self._story.allowance
+    def ideal_count(self) -> int:
+        """Number of operations that a single bucket for all boxes would have run."""
+        allowance = self._scenario.allowance
         level, last, ran = allowance.burst, 0.0, 0
-        for at in self.asked_at:
+        for at in self.requested_at:
             level = min(allowance.burst, level + (at - last) * allowance.rate_per_s)
             last = at
             if level >= 1:
@@ -166,27 +170,27 @@
         history = TokenServerHistory(name)
         process = Process(
             name,
-            self._new_keeper(centre, history),
+            self._new_allocator(centre, history),
             history,
-            self._draw.uniform(0, self._story.list_lag_s),
+            self._random.uniform(0, self._scenario.list_lag_s),
         )
         self._live[centre][name] = process
-        self._note_list(centre)
+        self._record_list(centre)
 
-    def _new_keeper(self, centre: int, history: TokenServerHistory) -> TokenAllocator:
+    def _new_allocator(self, centre: int, history: TokenServerHistory) -> TokenAllocator:
         others = [each for each in CENTRES if each != str(centre)]
         return TokenAllocator(self.bounds, history, str(centre), others)
 
-    def _note_list(self, centre: int) -> None:
-        if SLOW_AT_S <= self._now < SLOW_AT_S + self._story.kept_lists_s:
+    def _record_list(self, centre: int) -> None:
+        if SLOW_AT_S <= self._now < SLOW_AT_S + self._scenario.frozen_lists_s:
             return
         self._lists[centre].append((self._now, tuple(sorted(self._live[centre]))))
         for process in self._live[centre].values():
             seen_at = self._now + process.lag_s
-            self._at(seen_at, lambda p=process: self._hear(centre, p))  # type: ignore[misc]
+            self._at(seen_at, lambda p=process: self._receive_list(centre, p))  # type: ignore[misc]
 
-    def _hear(self, centre: int, process: Process) -> None:
-        process.history.note(self._view(centre, process), self._now)
+    def _receive_list(self, centre: int, process: Process) -> None:
+        process.history.record_list(self._view(centre, process), self._now)
 
     def _view(self, centre: int, process: Process) -> tuple[str, ...]:
         known = [names for at, names in self._lists[centre] if at <= self._now - process.lag_s]
@@ -194,9 +198,9 @@
 
     def _kill(self, centre: int, name: str) -> None:
         if self._live[centre].pop(name, None) is not None:
-            self._note_list(centre)
+            self._record_list(centre)
             self._at(
-                self._now + self._draw.uniform(*DOWN_S),
+                self._now + self._random.uniform(*DOWN_S),
                 lambda: self._start(centre, name),
             )
 
@@ -209,20 +213,22 @@
                 self._kill(centre, name)
 
     def _draw_restarts(self, centre: int) -> None:
-        for _ in range(self._story.restarts):
-            name = f"box-{centre}-{self._draw.randrange(BOXES)}"
-            self._kill_at(self._draw.uniform(FIRST_ASKED_S, LENGTH_S), centre, name)
+        for _ in range(self._scenario.restarts):
+            name = f"box-{centre}-{self._random.randrange(BOXES)}"
+            self._kill_at(self._random.uniform(FIRST_OPERATION_S, LENGTH_S), centre, name)
 
     # Operations -------------------------------------------------------------
 
-    def _ask_from(self, centre: int) -> None:
-        self._at(FIRST_ASKED_S, lambda: self._next_operation(centre))
+    def _start_operations(self, centre: int) -> None:
+        self._at(FIRST_OPERATION_S, lambda: self._next_operation(centre))
 
     def _next_operation(self, centre: int) -> None:
-        hot = 20.0 < self._now < 40.0
-        x = self._story.asked_x if hot else 0.625
-        rate = max(1e-6, self._story.allowance.rate_per_s * x * self._story.weights[centre])
-        when = self._now + self._draw.expovariate(rate)
+        is_peak = 20.0 < self._now < 40.0
+        load_factor = self._scenario.load_factor if is_peak else 0.625
+        rate = max(
+            1e-6, self._scenario.allowance.rate_per_s * load_factor * self._scenario.weights[centre]
+        )
+        when = self._now + self._random.expovariate(rate)
         if when < LENGTH_S:
             self._at(when, lambda: self._operation(centre))
 
@@ -231,84 +237,90 @@
         runners = [n for n in self._live[centre] if int(n[-1]) < RUNNERS]
         if not runners:
             return
-        self.asked_at.append(self._now)
-        process = self._live[centre][self._draw.choice(runners)]
-        if process.held.use(self._now) or self._granted(centre, process):
-            self._at(self._now + self._draw.uniform(0, USED_LATE_S), self._run)
+        self.requested_at.append(self._now)
+        process = self._live[centre][self._random.choice(runners)]
+        if process.prefetched.use(self._now) or self._request_tokens(centre, process):
+            self._at(self._now + self._random.uniform(0, MAX_USE_DELAY_S), self._run)
 
-    def _granted(self, centre: int, process: Process) -> bool:
-        wanted = process.held.wanted(self._now)
+    def _request_tokens(self, centre: int, process: Process) -> bool:
+        wanted = process.prefetched.next_request_size(self._now)
         known = {*self._view(centre, process), process.name}
         for name in token_server_order("rila", known):
-            keeper = self._live[centre].get(name)
-            if keeper is None or process.silent_until.get(name, 0.0) > self._now:
+            server = self._live[centre].get(name)
+            if server is None or process.silent_until.get(name, 0.0) > self._now:
                 continue
-            unused = process.held.lapsed(name, self._now)
-            grant = self._ask_keeper(centre, keeper, wanted, unused)
-            if name != process.name and self._is_slow(centre, name) and self._drawn(TIMED_OUT):
+            unused = process.prefetched.take_expired(name, self._now)
+            grant = self._grant(centre, server, wanted, unused)
+            if (
+                name != process.name
+                and self._is_slow(centre, name)
+                and self._happens(TIMED_OUT_FRACTION)
+            ):
                 process.silent_until[name] = self._now + SILENT_S
                 continue
-            process.held.granted(grant.tokens, self._now, name)
-            return process.held.use(self._now)
+            process.prefetched.add(grant.tokens, self._now, name)
+            return process.prefetched.use(self._now)
         return False
 
-    def _ask_keeper(self, centre: int, keeper: Process, wanted: int, unused: int) -> Grant:
-        keeper.history.note(self._view(centre, keeper), self._now)
-        self._look_at_keeper(centre, keeper)
-        grant = keeper.keeper.grant(self._workspace, wanted, unused, self._now)
-        if self._borrow(centre, keeper, grant.tokens == 0) and not grant.tokens:
-            grant = keeper.keeper.grant(self._workspace, wanted, 0, self._now)
+    def _grant(self, centre: int, server: Process, wanted: int, unused: int) -> Grant:
+        server.history.record_list(self._view(centre, server), self._now)
+        self._probe_preceding(centre, server)
+        grant = server.allocator.grant(self._workspace, wanted, unused, self._now)
+        if self._borrow(centre, server, grant.tokens == 0) and not grant.tokens:
+            grant = server.allocator.grant(self._workspace, wanted, 0, self._now)
         return grant
 
-    def _look_at_keeper(self, centre: int, asked: Process) -> None:
-        """Have a box that is asked in place of a keeper learn whether that one lives."""
-        for name in asked.keeper.before("rila"):
-            sign = ProbeOutcome.ANSWERED
+    def _probe_preceding(self, centre: int, server: Process) -> None:
+        """Probe the boxes that ``server`` stands in for."""
+        for name in server.allocator.preceding_boxes("rila"):
+            outcome = ProbeOutcome.ANSWERED
             if name not in self._live[centre]:
-                sign = ProbeOutcome.REFUSED
-            elif self._is_slow(centre, name) and not self._drawn(SLOW_ANSWERS):
-                sign = ProbeOutcome.SILENT
-            asked.keeper.note_probe(name, sign, self._now)
+                outcome = ProbeOutcome.REFUSED
+            elif self._is_slow(centre, name) and not self._happens(SLOW_ANSWERED_FRACTION):
+                outcome = ProbeOutcome.SILENT
+            server.allocator.note_probe(name, outcome, self._now)
 
     def _is_slow(self, centre: int, name: str) -> bool:
-        if not SLOW_AT_S <= self._now < SLOW_AT_S + self._story.slow_s:
+        if not SLOW_AT_S <= self._now < SLOW_AT_S + self._scenario.slow_s:
             return False
         return name == token_server_order("rila", [f"box-{centre}-{n}" for n in range(BOXES)])[0]
 
-    def _drawn(self, part: float) -> bool:
-        return self._draw.random() < part
+    def _happens(self, probability: float) -> bool:
+        return self._random.random() < probability
 
     # Loans --------------------------------------------------------------------
 
-    def _borrow(self, centre: int, keeper: Process, is_short: bool) -> bool:
-        """Have a keeper ask those of other data centres if it wants to; return whether it did."""
-        questions = keeper.keeper.questions(self._workspace, is_short, self._now)
-        for name, question in questions.items():
-            self._ask_loan(centre, keeper, int(name), question)
-        return bool(questions)
-
-    def _ask_loan(self, centre: int, keeper: Process, other: int, question: LoanRequest) -> None:
-        if self._is_cut(centre, other) or self._draw.random() < self._story.lost / 2:
+    def _borrow(self, centre: int, borrower: Process, is_short: bool) -> bool:
+        """Send the loan requests that are due; return whether there were any."""
+        loan_requests = borrower.allocator.loan_requests(self._workspace, is_short, self._now)
+        for name, request in loan_requests.items():
+            self._request_loan(centre, borrower, int(name), request)
+        return bool(loan_requests)
+
+    def _request_loan(
+        self, centre: int, borrower: Process, other: int, request: LoanRequest
+    ) -> None:
+        if self._is_cut(centre, other) or self._random.random() < self._scenario.loss / 2:
             return
-        lag_s = self._draw.uniform(0, self._story.list_lag_s)
+        lag_s = self._random.uniform(0, self._scenario.list_lag_s)
         listed = [names for at, names in self._lists[other] if at <= self._now - lag_s]
         name = token_server_order("rila", listed[-1])[0] if listed and listed[-1] else ""
         lender = self._live[other].get(name)
         if lender is None:
             return
-        lender.history.note(self._view(other, lender), self._now)
-        answer = lender.keeper.lend(self._workspace, question, self._now)
-        if answer is not None and self._draw.random() >= self._story.lost / 2:
-            keeper.keeper.take_loan(self._workspace, str(other), answer, self._now, self._now)
+        lender.history.record_list(self._view(other, lender), self._now)
+        reply = lender.allocator.lend(self._workspace, request, self._now)
+        if reply is not None and self._random.random() >= self._scenario.loss / 2:
+            borrower.allocator.accept_loan(self._workspace, str(other), reply, self._now, self._now)
 
     def _is_cut(self, one: int, other: int) -> bool:
-        beside = 0 in (one, other)
-        return beside and CUT_AT_S <= self._now < CUT_AT_S + self._story.cut_s
+        is_first_involved = 0 in (one, other)
+        return is_first_involved and CUT_AT_S <= self._now < CUT_AT_S + self._scenario.cut_s
 
     def _run(self) -> None:
         self.ran_at.append(self._now)
 
 
-def longest_use_s() -> float:
-    """Return how late after its grant a token may be used in a history, in seconds."""
-    return PREFETCH_S + USED_LATE_S
+def max_token_age_s() -> float:
+    """Return the maximum time from a grant to its token's use in a history, in seconds."""
+    return PREFETCH_S + MAX_USE_DELAY_S
--- a/wharftiller/tests/daemons/sessions/allowances/__init__.py
+++ b/wharftiller/tests/daemons/sessions/allowances/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the allowances of workspaces on one box."""
+"""Tests of the rate limiter of one box."""
