--- a/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
+++ b/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
@@ -82,17 +82,17 @@
         assert max_window_use(scenario) <= 1.0
 
     @pytest.mark.parametrize(
-        ("weights", "least"), [((0.4, 0.35, 0.25), 0.98), ((1.0, 0.0, 0.0), 0.93)]
+        ("weights", "min_fraction"), [((0.4, 0.35, 0.25), 0.98), ((1.0, 0.0, 0.0), 0.93)]
     )
     @pytest.mark.parametrize("allowance", [LARGE, MIDDLE, SMALL])
     def test_almost_nothing_below_the_allowance_is_refused(
-        self, allowance: Allowance, weights: tuple[float, float, float], least: float
+        self, allowance: Allowance, weights: tuple[float, float, float], min_fraction: float
     ) -> None:
         """Also where all operations arrive in one data centre, which then has to borrow."""
         calm = Scenario(allowance, weights, load_factor=0.625, restarts=0, kill_all=False)
         histories = [AllowanceHistory(calm, seed).simulate() for seed in SEEDS]
         ran = sum(len(each.ran_at) for each in histories)
-        assert ran >= least * sum(each.ideal_count for each in histories)
+        assert ran >= min_fraction * sum(each.ideal_count for each in histories)
 
     @pytest.mark.parametrize("allowance", [LARGE, SMALL])
     def test_a_hot_workspace_gets_most_of_its_allowance(self, allowance: Allowance) -> None:
@@ -234,7 +234,7 @@
         return total
 
     @pytest.mark.parametrize(
-        ("outcome", "least", "most"),
+        ("outcome", "min_fraction", "max_fraction"),
         [
             (ProbeOutcome.ANSWERED, 0.05, STANDBY_FRACTION),
             (ProbeOutcome.REFUSED, 0.7, 1.0),
@@ -242,10 +242,10 @@
         ],
     )
     def test_a_standby_grants_by_the_liveness_of_the_token_server(
-        self, outcome: ProbeOutcome, least: float, most: float
+        self, outcome: ProbeOutcome, min_fraction: float, max_fraction: float
     ) -> None:
         own = own_share(LARGE, BOUNDS)
-        assert least * own <= self.granted(self.standby(), outcome) <= most * own
+        assert min_fraction * own <= self.granted(self.standby(), outcome) <= max_fraction * own
 
     def test_an_old_probe_is_ignored(self) -> None:
         allocator = self.standby()
