--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    Answer = Callable[[Any], Awaitable[dict[str, Any]]]
+    Handler = Callable[[Any], Awaitable[dict[str, Any]]]
 
     from wharftiller.core.leadership.record import LeadershipRecord
     from wharftiller.daemons.sessions.allowances.token_server import TokenServer
@@ -29,7 +29,7 @@
 QUIET_WAIT_S = 1.0
 """Time for which writes under way may end before a planned change, in seconds."""
 
-START_S = 2.0
+BOX_START_S = 2.0
 """Time for a box to start, in seconds: one that stops is passed over for its grace and this."""
 
 
@@ -37,13 +37,13 @@
 """Where boxes ask what this one knows; answers may be large and are compressed."""
 
 
-def _at_once(answer: Callable[[Any], dict[str, Any]]) -> Answer:
+def _as_async(handler: Callable[[Any], dict[str, Any]]) -> Handler:
     """Return an answer that waits for nothing in the form of those that may."""
 
-    async def told(question: Any) -> dict[str, Any]:
-        return answer(question)
+    async def handler_async(request: Any) -> dict[str, Any]:
+        return handler(request)
 
-    return told
+    return handler_async
 
 
 class BoxServer:
@@ -63,79 +63,79 @@
         self,
         state: SharedState,
         directory: BoxDirectory,
-        marks: Tombstones,
-        desk: SnapshotServer,
-        known: Callable[[Any], dict[str, Any]],
-        check: Callable[[list[str]], Awaitable[None]],
-        desk_for_others: ForwardedExecutor,
-        keeper_desk: TokenServer,
-        links: GatewayClient,
+        tombstones: Tombstones,
+        snapshot_server: SnapshotServer,
+        state_json: Callable[[Any], dict[str, Any]],
+        check_endpoints: Callable[[list[str]], Awaitable[None]],
+        forwarded_executor: ForwardedExecutor,
+        token_server: TokenServer,
+        gateway_client: GatewayClient,
         grace_s: float,
     ) -> None:
         self._state = state
         self._directory = directory
-        self._marks = marks
-        self._check = check
-        self._links = links
+        self._tombstones = tombstones
+        self._check_endpoints = check_endpoints
+        self._gateway_client = gateway_client
         self._grace_s = grace_s
-        self._answers = {
-            ("POST", "/peer/round"): self._round,
-            ("POST", "/peer/read"): _at_once(desk.answer),
-            ("POST", "/peer/stop"): self._stop,
-            ("POST", "/peer/record"): _at_once(self._adopt),
-            ("POST", "/peer/news"): _at_once(self._look),
-            ("POST", "/peer/alive"): _at_once(lambda _: {}),
-            ("POST", "/peer/run"): desk_for_others.run,
-            ("POST", "/peer/end"): _at_once(desk_for_others.end),
-            ("POST", TOKENS_PATH): keeper_desk.handle_token_request,
-            ("POST", LOAN_PATH): _at_once(keeper_desk.handle_loan_request),
-            ("POST", "/peer/leaving"): self._leaving,
-            ("POST", STATE_PATH): _at_once(known),
+        self._handlers = {
+            ("POST", "/peer/round"): self._handle_renewal,
+            ("POST", "/peer/read"): _as_async(snapshot_server.handle_read),
+            ("POST", "/peer/stop"): self._handle_release_request,
+            ("POST", "/peer/record"): _as_async(self._adopt_record),
+            ("POST", "/peer/news"): _as_async(self._handle_change),
+            ("POST", "/peer/alive"): _as_async(lambda _: {}),
+            ("POST", "/peer/run"): forwarded_executor.run,
+            ("POST", "/peer/end"): _as_async(forwarded_executor.end),
+            ("POST", TOKENS_PATH): token_server.handle_token_request,
+            ("POST", LOAN_PATH): _as_async(token_server.handle_loan_request),
+            ("POST", "/peer/leaving"): self._handle_leaving,
+            ("POST", STATE_PATH): _as_async(state_json),
         }
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one question."""
-        answer = self._answers.get((request.method, request.path))
-        if answer is None:
+        handler = self._handlers.get((request.method, request.path))
+        if handler is None:
             raise UnknownPathError(f"no {request.method} {request.path}; boxes ask under /peer/")
         compressed = request.path == STATE_PATH
-        return HttpResponse(200, await answer(request.json()), compressed=compressed)
+        return HttpResponse(200, await handler(request.json()), compressed=compressed)
 
-    async def _round(self, question: Any) -> dict[str, Any]:
-        if not isinstance(question, dict) or not isinstance(question.get("revision"), int):
+    async def _handle_renewal(self, request: Any) -> dict[str, Any]:
+        if not isinstance(request, dict) or not isinstance(request.get("revision"), int):
             raise BadRequestError("a round's question names its revision; run one version")
         state = self._state
-        self._marks.note_answered(str(question.get("box")))
-        check = question.get("check") or ()
-        if isinstance(check, list) and check:
-            await self._check([str(each) for each in check])
+        self._tombstones.record_renewal(str(request.get("box")))
+        endpoints = request.get("check") or ()
+        if isinstance(endpoints, list) and endpoints:
+            await self._check_endpoints([str(each) for each in endpoints])
         record = state.leases.record
-        newer = record.revision > question["revision"]
+        is_newer = record.revision > request["revision"]
         return {
             "incarnation": self._directory.incarnation,
             "platform": self._directory.platform_answers,
             "read_age_ms": self._directory.read_age_ms(),
             "read": state.leases.read_from_platform,
             "revision": record.revision,
-            "record": record_to_json(record) if newer else None,
+            "record": record_to_json(record) if is_newer else None,
             "knows": state.knowledge.to_json(),
             "points": state.positions.told(),
-            "hears": self._heard(),
+            "hears": self._reachable_primaries(),
         }
 
-    def _look(self, _: Any) -> dict[str, Any]:
+    def _handle_change(self, _: Any) -> dict[str, Any]:
         """Look for a newer configuration or list of endpoints."""
         self._state.check_soon.set()
         return {}
 
-    async def _leaving(self, value: Any) -> dict[str, Any]:
+    async def _handle_leaving(self, value: Any) -> dict[str, Any]:
         """Pass nothing new to a box that is stopping."""
         if not isinstance(value, dict) or not isinstance(value.get("box"), str):
             raise BadRequestError("a leaving box names itself; run one version")
-        await self._links.leave(value["box"], self._grace_s + START_S)
+        await self._gateway_client.leave(value["box"], self._grace_s + BOX_START_S)
         return {}
 
-    def _heard(self) -> list[str]:
+    def _reachable_primaries(self) -> list[str]:
         """Return the primaries that answered lately, and not through another box."""
         now = trio.current_time()
         leads = [self._state.lead(group) for group in self._state.leases.record.groups]
@@ -150,7 +150,7 @@
             and self._state.endpoints.relay_for(row) is None
         ]
 
-    def _adopt(self, value: Any) -> dict[str, Any]:
+    def _adopt_record(self, value: Any) -> dict[str, Any]:
         """Take in a record if it is newer."""
         try:
             record = record_from_json(value["record"], value["revision"])
@@ -162,9 +162,9 @@
             self._state.wake()
         return {}
 
-    async def _stop(self, value: Any) -> dict[str, Any]:
+    async def _handle_release_request(self, value: Any) -> dict[str, Any]:
         """Stop using the primaries being replaced."""
-        self._adopt(value)
+        self._adopt_record(value)
         record = self._state.leases.record
         if record.revision < value["revision"] or not record.moving:
             return {"stopped": False}
@@ -179,12 +179,12 @@
             leases.close(group, moving.old.endpoint)
         for group, moving in record.moving.items():
             if moving.planned:
-                await self._quiet(group)
+                await self._wait_for_writes(group)
             self._state.leases.release_lease(group, moving.old.endpoint)
         self._state.log.change("word_given", groups=sorted(record.moving))
         self._state.wake()
 
-    async def _quiet(self, group: str) -> None:
+    async def _wait_for_writes(self, group: str) -> None:
         """Wait until this box's writes in ``group`` have ended, for some time at most."""
         with trio.move_on_after(QUIET_WAIT_S):
             while not self._state.work.is_quiet(group):
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -34,7 +34,7 @@
 MAX_NAMED = 8
 """Boxes that one line of the log names; all are counted."""
 
-ASKED_AGAIN = 2
+MAX_PROBES = 2
 """Times a box is asked whether it lives before its process counts as ended."""
 
 
@@ -50,7 +50,7 @@
 RELEASE_TIMEOUT_S = 1.5
 """Time a box has to give its word, in seconds; it may first let its writes end."""
 
-NEVER_READ_S = 3600.0
+MAX_READ_AGE_S = 3600.0
 """Age told of a read that never was, in seconds."""
 
 CONTACT_RECENT_S = 1.0
@@ -100,9 +100,9 @@
         self.incarnation = box.incarnation
         self.list = BoxList(box, {})
         self._replies: dict[str, BoxReply] = {}
-        self._answering: set[str] = set()
+        self._responding: set[str] = set()
         self.listed_since: float | None = None
-        self.round_at = -math.inf
+        self.renewal_sent_at = -math.inf
         self.platform_answers = False
         self.platform_read_at = -math.inf
 
@@ -114,7 +114,7 @@
     @property
     def replies(self) -> dict[str, BoxReply]:
         """The answers of the last round, unless it was long ago."""
-        if trio.current_time() - self.round_at > REPLIES_KEPT_S:
+        if trio.current_time() - self.renewal_sent_at > REPLIES_KEPT_S:
             return {}
         return self._replies
 
@@ -124,7 +124,7 @@
         reading = [name for name, reply in self.replies.items() if reply.platform_answers]
         return takeover_rank(self._box.name, reading, "reader") == 0
 
-    def take_list(self, boxes: dict[str, Box]) -> None:
+    def replace_list(self, boxes: dict[str, Box]) -> None:
         """Take in the platform's list of the other boxes."""
         if boxes == self.boxes:
             return
@@ -132,7 +132,7 @@
         self._log_change(boxes.keys() - self.boxes.keys(), gone, len(boxes))
         for name in gone:
             self._replies.pop(name, None)
-            self._answering.discard(name)
+            self._responding.discard(name)
         self.list = BoxList(self._box, boxes)
 
     def _log_change(self, new: Set[str], gone: Set[str], listed: int) -> None:
@@ -169,21 +169,21 @@
             The boxes to ask instead of every other one; their answers renew no lease.
         """
         asked_at = trio.current_time()
-        if asked_at - self.round_at < no_older_than_s:
+        if asked_at - self.renewal_sent_at < no_older_than_s:
             return False
-        self.round_at = asked_at
+        self.renewal_sent_at = asked_at
         boxes = dict(self.boxes) if among is None else {box.name: box for box in among}
         replies: dict[str, BoxReply] = {}
 
         async def ask(box: Box) -> None:
-            reply = await self._ask_round(box, asked_at, check)
+            reply = await self._request_renewal(box, asked_at, check)
             if reply is not None:
                 replies[box.name] = reply
 
         async with trio.open_nursery() as nursery:
             for box in boxes.values():
                 nursery.start_soon(ask, box)
-        self._note_contact(boxes, replies)
+        self._record_contact(boxes, replies)
         answers = [reply.answer for reply in replies.values()]
         before = self._state.leases.record.revision
         renewed = self._state.leases.renewal_ended(answers, asked_at)
@@ -191,22 +191,22 @@
             self._state.wake()
         return renewed
 
-    def _note_contact(self, boxes: dict[str, Box], replies: dict[str, BoxReply]) -> None:
+    def _record_contact(self, boxes: dict[str, Box], replies: dict[str, BoxReply]) -> None:
         for name in boxes:
-            if name in replies and name not in self._answering:
+            if name in replies and name not in self._responding:
                 self._state.log.change("box_answers", other=name)
-            elif name not in replies and name in self._answering:
+            elif name not in replies and name in self._responding:
                 self._state.log.change("box_silent", other=name)
-        self._answering = self._answering - boxes.keys() | replies.keys()
+        self._responding = self._responding - boxes.keys() | replies.keys()
         self._replies = replies
 
-    async def _ask_round(
+    async def _request_renewal(
         self, box: Box, asked_at: float, check: tuple[str, ...]
     ) -> BoxReply | None:
         revision = self._state.leases.record.revision
-        question = {"box": self._state.box, "revision": revision, "check": check}
+        request = {"box": self._state.box, "revision": revision, "check": check}
         try:
-            value = await self.post(box, "/peer/round", question, RENEWAL_TIMEOUT_S)
+            value = await self.post(box, "/peer/round", request, RENEWAL_TIMEOUT_S)
             return self._take_reply(box, value, asked_at)
         except (ExchangeError, BadRequestError) as error:
             self._state.log.event("box_did_not_answer", other=box.name, why=str(error))
@@ -219,7 +219,7 @@
                 record = record_from_json(value["record"], value["revision"])
             self._state.positions.take(value["points"], asked_at)
             answer = RenewalReply(box.name, bool(value["read"]), record)
-            hears = frozenset(map(str, value["hears"]))
+            reachable = frozenset(map(str, value["hears"]))
             read_at = asked_at - int(value["read_age_ms"]) / 1000
             self.platform_read_at = max(self.platform_read_at, read_at)
             return BoxReply(
@@ -227,7 +227,7 @@
                 bool(value["platform"]),
                 str(value["incarnation"]),
                 StateVersions.from_json(value["knows"]),
-                hears,
+                reachable,
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadRequestError(
@@ -236,7 +236,7 @@
 
     def read_age_ms(self) -> int:
         """Return the age of the newest read of the platform that is known, in milliseconds."""
-        age_s = min(trio.current_time() - self.platform_read_at, NEVER_READ_S)
+        age_s = min(trio.current_time() - self.platform_read_at, MAX_READ_AGE_S)
         return int(age_s * 1000) + 1
 
     def live(self) -> list[str]:
@@ -251,9 +251,9 @@
 
     def relay_to(self, endpoint: str) -> str | None:
         """Return where a box listens that hears ``endpoint``, the nearest first."""
-        hearing = [n for n, reply in self.replies.items() if endpoint in reply.hears]
-        near = [n for n in hearing if self._is_near(n)]
-        for name in ranked(self._state.box + endpoint, near or hearing):
+        reaching = [n for n, reply in self.replies.items() if endpoint in reply.hears]
+        near = [n for n in reaching if self._is_near(n)]
+        for name in ranked(self._state.box + endpoint, near or reaching):
             box = self.boxes.get(name)
             if box is not None:
                 return box.relay
@@ -276,7 +276,7 @@
     async def is_alive(self, box: Box, timeout_s: float) -> bool:
         """Return whether a box answers at once."""
         try:
-            await self._ask_alive(box, timeout_s)
+            await self._probe(box, timeout_s)
         except ExchangeError as error:
             self._state.log.event("box_did_not_answer", other=box.name, why=str(error))
             return False
@@ -284,9 +284,9 @@
 
     async def probe_outcome(self, box: Box, timeout_s: float) -> ProbeOutcome:
         """Return what comes of a question to a box."""
-        for _ in range(ASKED_AGAIN):
+        for _ in range(MAX_PROBES):
             try:
-                await self._ask_alive(box, timeout_s)
+                await self._probe(box, timeout_s)
             except NoAnswerInTimeError:
                 return ProbeOutcome.SILENT
             except ExchangeError:
@@ -295,7 +295,7 @@
             return ProbeOutcome.ANSWERED
         return ProbeOutcome.REFUSED
 
-    async def _ask_alive(self, box: Box, timeout_s: float) -> None:
+    async def _probe(self, box: Box, timeout_s: float) -> None:
         """Ask on a connection of its own: a round on the other may wait for a status."""
         client = self._alive_clients.get(box.address)
         if client is None:
@@ -340,19 +340,19 @@
     async def send_record(self, record: LeadershipRecord, boxes: list[Box] | None = None) -> None:
         """Tell ``boxes``, every other one if None, of a new record."""
         body = {"revision": record.revision, "record": record_to_json(record)}
-        await self._tell("/peer/record", body, boxes)
+        await self._notify("/peer/record", body, boxes)
 
     async def notify_change(self, boxes: list[Box]) -> None:
         """Have ``boxes`` look for a newer configuration or list of endpoints."""
-        await self._tell("/peer/news", {}, boxes)
+        await self._notify("/peer/news", {}, boxes)
 
     async def send_leaving(self) -> None:
         """Tell the boxes of this data centre that this one is stopping."""
         near = [box for name, box in self.boxes.items() if self._is_near(name)]
-        await self._tell("/peer/leaving", {"box": self._state.box}, near)
+        await self._notify("/peer/leaving", {"box": self._state.box}, near)
 
-    async def _tell(self, path: str, body: Any, boxes: list[Box] | None = None) -> None:
-        async def tell(box: Box) -> None:
+    async def _notify(self, path: str, body: Any, boxes: list[Box] | None = None) -> None:
+        async def notify(box: Box) -> None:
             try:
                 await self.post(box, path, body, RENEWAL_TIMEOUT_S)
             except ExchangeError as error:
@@ -360,19 +360,19 @@
 
         async with trio.open_nursery() as nursery:
             for box in list(self.boxes.values()) if boxes is None else boxes:
-                nursery.start_soon(tell, box)
+                nursery.start_soon(notify, box)
 
     async def fetch_state(
-        self, address: str, mine: StateVersions, timeout_s: float
+        self, address: str, own: StateVersions, timeout_s: float
     ) -> dict[str, Any] | None:
-        """Return what the box at ``address`` knows beyond ``mine``; None if it does not answer.
+        """Return what the box at ``address`` knows beyond ``own``; None if it does not answer.
 
         On a connection of its own: a large configuration on a slow link would hold up rounds.
         """
         client = HttpClient(self._transport, address)
         try:
             answer = await client.request(
-                "POST", "/peer/known", {"knows": mine.to_json()}, timeout_s=timeout_s
+                "POST", "/peer/known", {"knows": own.to_json()}, timeout_s=timeout_s
             )
             value = answer.json()
         except ExchangeError as error:
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -19,10 +19,10 @@
 POLL_S = 0.1
 """Time between looks at whether the groups can be served, in seconds."""
 
-ASKED_ELSEWHERE = 2
+MAX_PROBED_BOXES = 2
 """Boxes of another data centre asked before it counts as silent."""
 
-ASK_TIMEOUT_S = 0.25
+PROBE_TIMEOUT_S = 0.25
 """Time a box elsewhere has to answer, in seconds: one lost packet is sent again after 0.2 s."""
 
 
@@ -46,31 +46,31 @@
         """Look for ever."""
         while True:
             await trio.sleep(POLL_S)
-            await self._look()
-
-    async def _look(self) -> None:
-        view = self._view()
-        asked = self._isolation.centres_to_ask(view)
-        if asked:
-            silent = await self._silent_among(asked)
-            view = attrs.evolve(self._view(), silent=silent)
-        told = {"unusable": sorted(view.unusable)}
-        match self._isolation.decide(view):
+            await self._check()
+
+    async def _check(self) -> None:
+        inputs = self._inputs()
+        to_probe = self._isolation.centres_to_ask(inputs)
+        if to_probe:
+            silent = await self._silent_among(to_probe)
+            inputs = attrs.evolve(self._inputs(), silent=silent)
+        fields = {"unusable": sorted(inputs.unusable)}
+        match self._isolation.decide(inputs):
             case Begin(silent):
-                self._state.log.change("isolated", silent=sorted(silent), **told)
+                self._state.log.change("isolated", silent=sorted(silent), **fields)
             case End():
-                self._state.log.change("isolation_ended", silent=sorted(silent), **told)
+                self._state.log.change("isolation_ended", silent=sorted(silent), **fields)
             case ShedSessions(groups):
-                sent = self._sessions.send_away(groups)
-                self._state.log.change("sessions_sent_away", sessions=sent, **told)
+                closed = self._sessions.send_away(groups)
+                self._state.log.change("sessions_sent_away", sessions=closed, **fields)
 
-    def _view(self) -> IsolationInputs:
+    def _inputs(self) -> IsolationInputs:
         unusable = self._unusable()
         return IsolationInputs(
             now=trio.current_time(),
             groups=len(self._state.leases.record.groups),
             unusable=unusable,
-            away=self._away(unusable),
+            away=self._primary_centres(unusable),
             elsewhere=frozenset(self._directory.list.elsewhere),
         )
 
@@ -92,7 +92,7 @@
                 unusable.add(group)
         return frozenset(unusable)
 
-    def _away(self, unusable: frozenset[str]) -> dict[str, str]:
+    def _primary_centres(self, unusable: frozenset[str]) -> dict[str, str]:
         """Return the other data centres where ``unusable`` primaries stand, by group."""
         centres = {}
         for group in unusable:
@@ -104,14 +104,14 @@
     async def _silent_among(self, centres: frozenset[str]) -> frozenset[str]:
         """Return those of ``centres`` that have boxes, none of which answers."""
         elsewhere = self._directory.list.elsewhere
-        answering: set[str] = set()
+        responding: set[str] = set()
 
-        async def ask(box: Box) -> None:
-            if await self._directory.is_alive(box, ASK_TIMEOUT_S):
-                answering.add(box.data_centre)
+        async def probe(box: Box) -> None:
+            if await self._directory.is_alive(box, PROBE_TIMEOUT_S):
+                responding.add(box.data_centre)
 
         async with trio.open_nursery() as nursery:
             for centre in centres & elsewhere.keys():
-                for name in ranked(self._state.box, elsewhere[centre])[:ASKED_ELSEWHERE]:
-                    nursery.start_soon(ask, self._directory.boxes[name])
-        return frozenset(centres & elsewhere.keys()) - answering
+                for name in ranked(self._state.box, elsewhere[centre])[:MAX_PROBED_BOXES]:
+                    nursery.start_soon(probe, self._directory.boxes[name])
+        return frozenset(centres & elsewhere.keys()) - responding
--- a/wharftiller/daemons/sessions/membership/lease_renewal.py
+++ b/wharftiller/daemons/sessions/membership/lease_renewal.py
@@ -46,14 +46,14 @@
         state: SharedState,
         directory: BoxDirectory,
         readers: SnapshotClient,
-        neighbours: PeerSync,
+        peer_sync: PeerSync,
         may_run: Callable[[], bool],
         nursery: trio.Nursery,
     ) -> None:
         self._state = state
         self._directory = directory
         self._readers = readers
-        self._neighbours = neighbours
+        self._peer_sync = peer_sync
         self._may_run = may_run
         self._nursery = nursery
         self._renewed = False
@@ -71,24 +71,24 @@
                 self._renewed = await self._renew_by_reader()
             elif self._directory.boxes:
                 self._renewed = await self._directory.round()
-                self._neighbours.sync_newer()
+                self._peer_sync.sync_newer()
             with trio.move_on_after(RENEWAL_S):
                 await self._state.check_soon.wait()
 
     async def _renew_by_reader(self) -> bool:
         """Renew the leases through a reader; by a round once that has failed for a while."""
         renewed = self._readers.is_reader or await self._readers.ask()
-        if self._readers.newer_at is not None:
-            self._nursery.start_soon(self._neighbours.sync_from, self._readers.newer_at)
-            self._readers.newer_at = None
+        if self._readers.newer_state_at is not None:
+            self._nursery.start_soon(self._peer_sync.sync_from, self._readers.newer_state_at)
+            self._readers.newer_state_at = None
         elif renewed:
-            self._neighbours.nothing_lacks()
+            self._peer_sync.mark_up_to_date()
         if trio.current_time() - self._directory.platform_read_at > RENEWALS_AFTER_S:
-            await self._ask_in_outage()
+            await self._renew_in_outage()
         return renewed
 
-    async def _ask_in_outage(self) -> None:
+    async def _renew_in_outage(self) -> None:
         """Ask everybody, if this box needs leases; else only those who hear news first."""
         among = None if self._may_run() else self._readers.followers()
         await self._directory.round(no_older_than_s=RENEWALS_APART_S, among=among)
-        self._neighbours.sync_newer()
+        self._peer_sync.sync_newer()
--- a/wharftiller/daemons/sessions/membership/peer_sync.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -34,7 +34,7 @@
 CURRENT_FRACTION = 0.6
 """What is left beside a box's own list of a configuration (0.4), as such a part."""
 
-CURRENT_LESS_S = 1.0
+CURRENT_MARGIN_S = 1.0
 """Time by which what a neighbour tells must be younger than that to count as current, in seconds.
 
 A reader that turns out to be silent has 0.7 s to answer and is looked at every 0.25 s; then the
@@ -74,12 +74,12 @@
         self._seeds = seeds
         self._decode_configuration = decode_configuration
         self._fetch_timeout_s = FETCH_FRACTION * bounds.configuration_in_force_s
-        self._current_age_s = CURRENT_FRACTION * bounds.configuration_in_force_s - CURRENT_LESS_S
+        self._current_age_s = CURRENT_FRACTION * bounds.configuration_in_force_s - CURRENT_MARGIN_S
         self._read_at = -math.inf
         self._nursery = nursery
-        self._fetching = False
+        self._is_fetching = False
         self._fetch_failed = False
-        self.asked_at_start = trio.Event()
+        self.seeds_tried = trio.Event()
 
     @property
     def fetch_failed(self) -> bool:
@@ -87,7 +87,7 @@
         return self._fetch_failed
 
     @property
-    def has_learned(self) -> bool:
+    def has_state(self) -> bool:
         """Whether this box knows a configuration and endpoints."""
         return self._state.version > 0 and bool(self._state.endpoints.rows)
 
@@ -96,7 +96,7 @@
         """Whether a neighbour told this box what was read from the platform lately."""
         return trio.current_time() - self._read_at < self._current_age_s
 
-    def known(self, asked: Any) -> dict[str, Any]:
+    def known(self, request: Any) -> dict[str, Any]:
         """Return what another box may learn from this one, as JSON.
 
         Parameters
@@ -110,19 +110,19 @@
             If it tells something else.
         """
         try:
-            theirs = StateVersions.from_json(asked["knows"])
+            requester = StateVersions.from_json(request["knows"])
         except (KeyError, TypeError, ValueError) as error:
             raise BadRequestError(f"no knowledge was told: {error!r}; run one version") from None
-        mine = self._state.knowledge
+        own = self._state.knowledge
         rows = self._state.endpoints.rows.values()
         return {
             "configuration": (
-                self._state.configuration.document if theirs.lacks_configuration(mine) else None
+                self._state.configuration.document if requester.lacks_configuration(own) else None
             ),
-            "endpoints_revision": mine.endpoints_revision,
+            "endpoints_revision": own.endpoints_revision,
             "endpoints": (
                 [attrs.asdict(row.entry) for row in rows if not row.gone]
-                if theirs.lacks_endpoints(mine)
+                if requester.lacks_endpoints(own)
                 else None
             ),
             "boxes": self._directory.boxes_to_json(),
@@ -136,15 +136,15 @@
         starts again nobody knows anything.
         """
         with trio.move_on_after(SEEDS_TIMEOUT_S):
-            await self._learn_from_seeds()
-        self.asked_at_start.set()
-        while not self.has_learned:
+            await self._sync_from_seeds()
+        self.seeds_tried.set()
+        while not self.has_state:
             await trio.sleep(SYNC_RETRY_S)
-            await self._learn_from_seeds()
+            await self._sync_from_seeds()
 
-    async def _learn_from_seeds(self) -> None:
+    async def _sync_from_seeds(self) -> None:
         for address in self._seeds:
-            if not self.has_learned:
+            if not self.has_state:
                 await self.sync_from(address)
 
     def sync_newer(self) -> None:
@@ -154,9 +154,9 @@
             if box is not None and self._state.knowledge.lacks(reply.knowledge):
                 self._nursery.start_soon(self.sync_from, box.address)
                 return
-        self.nothing_lacks()
+        self.mark_up_to_date()
 
-    def nothing_lacks(self) -> None:
+    def mark_up_to_date(self) -> None:
         """Note that no other box knows more."""
         self._fetch_failed = False
 
@@ -165,21 +165,21 @@
 
         One fetch at a time: a slow one is not made slower by the next.
         """
-        if self._fetching:
+        if self._is_fetching:
             return
-        self._fetching = True
+        self._is_fetching = True
         asked_at = trio.current_time()
         try:
             known = await self._directory.fetch_state(
                 address, self._state.knowledge, self._fetch_timeout_s
             )
         finally:
-            self._fetching = False
+            self._is_fetching = False
         self._fetch_failed = known is None
         if known is not None:
-            self._take(address, known, asked_at)
+            self._apply(address, known, asked_at)
 
-    def _take(self, address: str, known: dict[str, Any], asked_at: float) -> None:
+    def _apply(self, address: str, known: dict[str, Any], asked_at: float) -> None:
         configuration = entries = None
         try:
             if known["configuration"] is not None:
@@ -198,4 +198,4 @@
         if entries is not None:
             self._state.endpoints.take(entries, revision)
         if not self._directory.boxes:
-            self._directory.take_list({b.name: b for b in boxes if b.name != self._state.box})
+            self._directory.replace_list({b.name: b for b in boxes if b.name != self._state.box})
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -50,7 +50,7 @@
 Boxes ask once a second, and lists are read every 0.8 s.
 """
 
-ASKED_LATELY_S = 5.0
+REQUEST_RECENT_S = 5.0
 """A box that has not asked its reader for so long counts as silent, in seconds."""
 
 
@@ -58,7 +58,7 @@
 class LastRead:
     """The newest read of the platform that this box made itself."""
 
-    listing: PlatformSnapshot | None = None
+    snapshot: PlatformSnapshot | None = None
     asked_at: float = 0.0
     list_revision: int = 0
 
@@ -96,19 +96,19 @@
         self._changes: dict[int, ListChange] = {}
         self.asked_at: dict[str, float] = {}
 
-    def note(self, listing: PlatformSnapshot, asked_at: float) -> None:
+    def store(self, snapshot: PlatformSnapshot, asked_at: float) -> None:
         """Keep a read that this box made."""
-        known = self._last.listing
-        if known is None or known.boxes != listing.boxes:
-            self._last.list_revision = listing.revision
-            self._lists[listing.revision] = listing.boxes
+        known = self._last.snapshot
+        if known is None or known.boxes != snapshot.boxes:
+            self._last.list_revision = snapshot.revision
+            self._lists[snapshot.revision] = snapshot.boxes
             while len(self._lists) > LISTS_KEPT:
                 del self._lists[min(self._lists)]
             self._changes.clear()
-        self._last.listing = listing
+        self._last.snapshot = snapshot
         self._last.asked_at = asked_at
 
-    def answer(self, question: Any) -> dict[str, Any]:
+    def handle_read(self, request: Any) -> dict[str, Any]:
         """Return what was read last, as far as the asking box does not know it.
 
         Raises
@@ -117,23 +117,23 @@
             If the question is none.
         """
         try:
-            name, incarnation = str(question["box"]), str(question["incarnation"])
-            revision, list_revision = int(question["revision"]), int(question["list_revision"])
+            name, incarnation = str(request["box"]), str(request["incarnation"])
+            revision, list_revision = int(request["revision"]), int(request["list_revision"])
         except (KeyError, TypeError, ValueError) as error:
             raise BadRequestError(f"no question to a reader: {error!r}; run one version") from None
         now = trio.current_time()
         self.asked_at[name] = now
-        listing = self._last.listing
-        if listing is None:
+        snapshot = self._last.snapshot
+        if snapshot is None:
             return {"read": False}
-        listed = listing.boxes.get(name)
-        told: dict[str, Any] = {
+        listed = snapshot.boxes.get(name)
+        reply: dict[str, Any] = {
             "read": True,
             "age_ms": int((now - self._last.asked_at) * 1000) + 1,
             "listed": listed is not None and listed.incarnation == incarnation,
-            "revision": listing.record.revision,
-            "era": listing.record.era,
-            "confirmed": listing.record.is_confirmed,
+            "revision": snapshot.record.revision,
+            "era": snapshot.record.era,
+            "confirmed": snapshot.record.is_confirmed,
             "record": None,
             "list_revision": self._last.list_revision,
             "boxes": None,
@@ -142,14 +142,14 @@
             "knows": self._state.knowledge.to_json(),
             "points": self._state.positions.told(),
         }
-        if listing.record.revision > revision:
-            told["record"] = record_to_json(listing.record)
+        if snapshot.record.revision > revision:
+            reply["record"] = record_to_json(snapshot.record)
         if self._last.list_revision != list_revision:
-            change = self._change_since(list_revision, listing.boxes)
-            told["boxes"] = change.boxes
-            told["gone"] = change.gone
-            told["whole"] = list_revision not in self._lists
-        return told
+            change = self._change_since(list_revision, snapshot.boxes)
+            reply["boxes"] = change.boxes
+            reply["gone"] = change.gone
+            reply["whole"] = list_revision not in self._lists
+        return reply
 
     def _change_since(self, list_revision: int, boxes: dict[str, Box]) -> ListChange:
         """Return what leads from the list of a revision, empty if unknown, to ``boxes``.
@@ -168,7 +168,7 @@
 
     Attributes
     ----------
-    newer_at : str or None
+    newer_state_at : str or None
         Address of a reader that knows more than this box.
     is_silent : bool
         Whether the last one asked did not answer, or had read nothing lately.
@@ -184,15 +184,15 @@
         state: SharedState,
         directory: BoxDirectory,
         box: Box,
-        take: Callable[[PlatformSnapshot, float], bool],
+        apply: Callable[[PlatformSnapshot, float], bool],
     ) -> None:
         self._state = state
         self._directory = directory
         self._box = box
-        self._take = take
+        self._apply = apply
         self._list_revision = 0
         self._boxes: dict[str, Box] = {}
-        self.newer_at: str | None = None
+        self.newer_state_at: str | None = None
         self.is_silent = False
 
     @property
@@ -241,27 +241,27 @@
 
     async def _ask(self, reader: Box) -> bool:
         asked_at = trio.current_time()
-        question = {
+        request = {
             "box": self._box.name,
             "incarnation": self._box.incarnation,
             "revision": self._state.leases.record.revision,
             "list_revision": self._list_revision,
         }
         try:
-            value = await self._directory.post(reader, "/peer/read", question, RENEWAL_TIMEOUT_S)
-            return self._take_answer(reader, value, asked_at)
+            value = await self._directory.post(reader, "/peer/read", request, RENEWAL_TIMEOUT_S)
+            return self._take_reply(reader, value, asked_at)
         except (ExchangeError, BadRequestError) as error:
             self._state.log.event("reader_did_not_answer", other=reader.name, why=str(error))
             self.is_silent = True
             return False
 
-    def _take_answer(self, reader: Box, value: Any, asked_at: float) -> bool:
+    def _take_reply(self, reader: Box, value: Any, asked_at: float) -> bool:
         try:
             if not value["read"]:
                 self.is_silent = True
                 return False
-            newer = self._state.knowledge.lacks(StateVersions.from_json(value["knows"]))
-            self.newer_at = reader.address if newer else None
+            has_newer = self._state.knowledge.lacks(StateVersions.from_json(value["knows"]))
+            self.newer_state_at = reader.address if has_newer else None
             if not value["listed"]:
                 return False
             # The reader's age counts back from an answer that came after the question.
@@ -290,8 +290,8 @@
                 f"{reader.name} told nonsense: {error!r}; run one version"
             ) from None
         self._directory.platform_read_at = max(self._directory.platform_read_at, read_at)
-        listing = PlatformSnapshot(record, dict(self._boxes))
-        if value["revision"] == record.revision and not self._take(listing, read_at):
+        snapshot = PlatformSnapshot(record, dict(self._boxes))
+        if value["revision"] == record.revision and not self._apply(snapshot, read_at):
             return False
         is_fresh = trio.current_time() - read_at < READ_FRESH_S
         self.is_silent = not is_fresh
--- a/wharftiller/daemons/sessions/membership/retirement.py
+++ b/wharftiller/daemons/sessions/membership/retirement.py
@@ -3,7 +3,7 @@
 A box that is silent for a while is first marked. If it lives and reaches the
 platform, it finds the mark at its next read and registers anew before that read
 counts for a lease; if it does not reach the platform, its leases end with the age of
-its list. So an entry that has stood marked for `MARKED_S` stands for no lease.
+its list. So an entry that has stood marked for `TOMBSTONE_S` stands for no lease.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from wharftiller.core.errors import PlatformUnavailableError
 from wharftiller.core.leadership.lease import LEASE_S, LISTING_S
-from wharftiller.daemons.sessions.membership.readers import ASKED_LATELY_S
+from wharftiller.daemons.sessions.membership.readers import REQUEST_RECENT_S
 
 if TYPE_CHECKING:
     import trio
@@ -30,7 +30,7 @@
 Longer than a restart (1 to 2 s); a box that is only cut off pays one more write.
 """
 
-MARKED_S = LISTING_S + LEASE_S + 1.0
+TOMBSTONE_S = LISTING_S + LEASE_S + 1.0
 """Time after which a marked entry is removed, in seconds: no lease outlives it."""
 
 
@@ -42,19 +42,19 @@
         state: SharedState,
         directory: BoxDirectory,
         shared: SharedObjects,
-        desk: SnapshotServer,
+        snapshot_server: SnapshotServer,
         readers: SnapshotClient,
         nursery: trio.Nursery,
     ) -> None:
         self._state = state
         self._directory = directory
-        self._desk = desk
+        self._snapshot_server = snapshot_server
         self._readers = readers
         self._shared = shared
         self._nursery = nursery
         self._silent_since: dict[Box, float] = {}
 
-    def look(self, boxes: dict[str, Box], now: float) -> None:
+    def update(self, boxes: dict[str, Box], now: float) -> None:
         """Look at the list as read from the platform at ``now`` (seconds)."""
         silent = [box for name, box in boxes.items() if self._is_silent(box, now)]
         self._silent_since = {box: self._silent_since.get(box, now) for box in silent}
@@ -63,7 +63,7 @@
         for box, since in self._silent_since.items():
             if not box.retired and now - since > SILENT_S:
                 self._nursery.start_soon(self._retire, box)
-            elif box.retired and now - since > MARKED_S:
+            elif box.retired and now - since > TOMBSTONE_S:
                 self._nursery.start_soon(self._remove, box)
 
     def _is_silent(self, box: Box, now: float) -> bool:
@@ -72,7 +72,7 @@
         if box.data_centre != self._readers.data_centre:
             # The reader over there looks after it.
             return False
-        return now - self._desk.asked_at.get(box.name, -math.inf) > ASKED_LATELY_S
+        return now - self._snapshot_server.asked_at.get(box.name, -math.inf) > REQUEST_RECENT_S
 
     def _is_reader(self) -> bool:
         if self._readers.applies:
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -20,16 +20,16 @@
     from wharftiller.daemons.sessions.membership.snapshots import SnapshotApplier
     from wharftiller.daemons.sessions.state import SharedState
 
-REGISTERED_S = 0.6
+REGISTRATION_WAIT_S = 0.6
 """Time in which all boxes of a first start register, in seconds: they start within 0.3 s."""
 
-FIRST_ANSWER_S = 2.0
+FIRST_REPLY_S = 2.0
 """Time after its start within which a box hears from its reader, in seconds.
 
 It asks once a second, and its reader has read the list that holds it within 0.9 s.
 """
 
-FEEDS_WAIT_S = 1.0
+WATCHES_WAIT_S = 1.0
 """Time for the first read of the platform before feeds are followed all the same, in seconds."""
 
 POLL_S = 0.1
@@ -54,28 +54,28 @@
         directory: BoxDirectory,
         box: Box,
         shared: SharedObjects,
-        listings: SnapshotApplier,
+        snapshot_applier: SnapshotApplier,
         readers: SnapshotClient,
-        desk: SnapshotServer,
+        snapshot_server: SnapshotServer,
         retirement: BoxRetirement,
-        rounds: LeaseRenewer,
-        neighbours: PeerSync,
-        feeds: Watches,
-        pace: ReadIntervals,
+        lease_renewer: LeaseRenewer,
+        peer_sync: PeerSync,
+        watches: Watches,
+        intervals: ReadIntervals,
         first_start: bool,
     ) -> None:
         self._state = state
         self._directory = directory
         self._box = box
         self._shared = shared
-        self._listings = listings
+        self._snapshot_applier = snapshot_applier
         self._readers = readers
-        self._desk = desk
+        self._snapshot_server = snapshot_server
         self._retirement = retirement
-        self._rounds = rounds
-        self._neighbours = neighbours
-        self._feeds = feeds
-        self._pace = pace
+        self._lease_renewer = lease_renewer
+        self._peer_sync = peer_sync
+        self._watches = watches
+        self._intervals = intervals
         self._first_start = self._waits_for_others = first_start
         self._has_registered = False
         self._platform_answers: bool | None = None
@@ -93,17 +93,17 @@
         while True:
             started = trio.current_time()
             await self._read()
-            while not read_is_due(self._view(started), self._pace):
+            while not read_is_due(self._schedule_inputs(started), self._intervals):
                 await trio.sleep(POLL_S)
 
-    def _view(self, tried_at: float) -> ReadScheduleInputs:
+    def _schedule_inputs(self, tried_at: float) -> ReadScheduleInputs:
         now = trio.current_time()
         return ReadScheduleInputs(
             since_s=now - tried_at,
             misses_lease=self._state.leases.misses_lease(now),
             by_data_centre=self._readers.applies,
             reads_for_others=self.reads_for_others,
-            renewed=self._is_told,
+            renewed=self._receives_updates,
             known_age_s=now - self._directory.platform_read_at,
             platform_answers=self._platform_answers is not False,
             is_asked=self._readers.is_asked,
@@ -111,11 +111,11 @@
 
     async def choose_watches(self) -> None:
         """Follow configuration and endpoints where no reader tells of them, or not in time."""
-        await self._neighbours.asked_at_start.wait()
+        await self._peer_sync.seeds_tried.wait()
         while True:
             age_s = trio.current_time() - self._started_at
-            if self._directory.platform_answers or age_s > FEEDS_WAIT_S:
-                self._feeds.follow(self._should_follow())
+            if self._directory.platform_answers or age_s > WATCHES_WAIT_S:
+                self._watches.follow(self._should_follow())
             await trio.sleep(WATCHES_POLL_S)
 
     def _should_follow(self) -> bool:
@@ -124,49 +124,49 @@
             # It would not be answered; what others are told, they tell.
             return False
         behind_reader = self._readers.applies and not self._readers.is_reader
-        return not (behind_reader and self._is_told) or self._neighbours.fetch_failed
+        return not (behind_reader and self._receives_updates) or self._peer_sync.fetch_failed
 
     @property
-    def _is_told(self) -> bool:
+    def _receives_updates(self) -> bool:
         """Whether other boxes tell this one what they read, or are soon to do so.
 
         A box that has just read waits for a reader to list it, unless that is silent, if a
         neighbour told it what is current, or if the whole deployment starts for the first time.
         A box that starts beside a cut may hear from one that was parted for long.
         """
-        if self._rounds.renewed:
+        if self._lease_renewer.renewed:
             return True
-        is_new = trio.current_time() - self._started_at < FIRST_ANSWER_S
-        knows = self._first_start or (self._neighbours.is_current and not self._readers.is_silent)
-        return is_new and knows and self._directory.platform_answers
+        is_new = trio.current_time() - self._started_at < FIRST_REPLY_S
+        synced = self._first_start or (self._peer_sync.is_current and not self._readers.is_silent)
+        return is_new and synced and self._directory.platform_answers
 
     async def _read(self) -> None:
         try:
-            listing, asked_at = await self._read_registered()
+            snapshot, asked_at = await self._read_registered()
         except PlatformUnavailableError as error:
-            self._platform_answered(False, str(error))
+            self._set_platform_answers(False, str(error))
             return
-        self._platform_answered(True)
-        self._desk.note(listing, asked_at)
-        self._retirement.look(self._listings.others(listing), asked_at)
+        self._set_platform_answers(True)
+        self._snapshot_server.store(snapshot, asked_at)
+        self._retirement.update(self._snapshot_applier.others(snapshot), asked_at)
         was_unlisted = self._directory.listed_since is None
-        self._listings.take(listing, asked_at)
+        self._snapshot_applier.take(snapshot, asked_at)
         if was_unlisted and self._readers.applies:
             # The reader is asked at once: what it knows is needed before it lists this box.
             self._state.check_soon.set()
         known_age_s = asked_at - self._directory.platform_read_at
-        alone = self.reads_for_others or not self._rounds.renewed
-        if alone or known_age_s > self._pace.known_s:
-            self._feeds.noticed(listing)
+        is_alone = self.reads_for_others or not self._lease_renewer.renewed
+        if is_alone or known_age_s > self._intervals.known_s:
+            self._watches.noticed(snapshot)
         self._directory.platform_read_at = max(self._directory.platform_read_at, asked_at)
 
     async def _read_registered(self) -> tuple[PlatformSnapshot, float]:
         """Return a listing that holds this box, and when it was asked for."""
         if self._has_registered:
             asked_at = trio.current_time()
-            listing = await self._shared.read()
-            if self._listings.holds_this_process(listing):
-                return listing, asked_at
+            snapshot = await self._shared.read()
+            if self._snapshot_applier.holds_this_process(snapshot):
+                return snapshot, asked_at
         # Others' lists may lack this box now: it counts as a newcomer once it is listed.
         self._directory.listed_since = None
         await self._shared.register(self._box)
@@ -174,12 +174,12 @@
         if self._waits_for_others:
             # All boxes register now: one read later shows them all.
             self._waits_for_others = False
-            await trio.sleep(REGISTERED_S)
+            await trio.sleep(REGISTRATION_WAIT_S)
         # A lease counts only from a read made after the registration.
         asked_at = trio.current_time()
         return await self._shared.read(), asked_at
 
-    def _platform_answered(self, answers: bool, why: str = "") -> None:
+    def _set_platform_answers(self, answers: bool, why: str = "") -> None:
         self._directory.platform_answers = answers
         self._state.platform_away = not answers
         if self._platform_answers != answers:
--- a/wharftiller/daemons/sessions/membership/snapshots.py
+++ b/wharftiller/daemons/sessions/membership/snapshots.py
@@ -20,18 +20,18 @@
     ) -> None:
         self._state = state
         self._directory = directory
-        self._marks = marks
+        self._tombstones = marks
         self._box = box
 
-    def others(self, listing: PlatformSnapshot) -> dict[str, Box]:
-        """Return the other boxes of ``listing``."""
-        return {name: box for name, box in listing.boxes.items() if name != self._box.name}
+    def others(self, snapshot: PlatformSnapshot) -> dict[str, Box]:
+        """Return the other boxes of ``snapshot``."""
+        return {name: box for name, box in snapshot.boxes.items() if name != self._box.name}
 
-    def holds_this_process(self, listing: PlatformSnapshot) -> bool:
-        """Return whether this very process stands in ``listing``, and not marked as dead."""
-        return listing.boxes.get(self._box.name) == self._box
+    def holds_this_process(self, snapshot: PlatformSnapshot) -> bool:
+        """Return whether this very process stands in ``snapshot``, and not marked as dead."""
+        return snapshot.boxes.get(self._box.name) == self._box
 
-    def take(self, listing: PlatformSnapshot, asked_at: float) -> bool:
+    def take(self, snapshot: PlatformSnapshot, asked_at: float) -> bool:
         """Take in what was read from the platform, asked for at ``asked_at`` (seconds).
 
         Returns
@@ -39,10 +39,10 @@
         bool
             Whether this process stands in the list; only then does the read count.
         """
-        others = self.others(listing)
-        self._directory.take_list(others)
-        self._marks.take(listing.marks)
-        if not self.holds_this_process(listing):
+        others = self.others(snapshot)
+        self._directory.replace_list(others)
+        self._tombstones.take(snapshot.marks)
+        if not self.holds_this_process(snapshot):
             self._directory.listed_since = None
             return False
         leases = self._state.leases
@@ -50,7 +50,7 @@
             self._directory.listed_since = asked_at
         before = leases.record.revision
         # First, as it may show that the list came back from a copy and lacks boxes.
-        leases.read(listing.record, asked_at)
+        leases.read(snapshot.record, asked_at)
         leases.listed(others, asked_at)
         if leases.record.revision != before:
             self._state.log.change(
--- a/wharftiller/daemons/sessions/membership/tombstones.py
+++ b/wharftiller/daemons/sessions/membership/tombstones.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class _Mark:
+class _Tombstone:
     """A mark that a box is dead.
 
     Attributes
@@ -35,22 +35,22 @@
 
     def __init__(self, directory: BoxDirectory) -> None:
         self._directory = directory
-        self._marks: dict[str, _Mark] = {}
-        self._answered_at: dict[str, float] = {}
+        self._tombstones: dict[str, _Tombstone] = {}
+        self._renewal_answered_at: dict[str, float] = {}
 
-    def take(self, marks: dict[str, int]) -> None:
+    def take(self, tombstones: dict[str, int]) -> None:
         """Take in which boxes an own read of the platform shows as dead, by entry's revision."""
         now = trio.current_time()
-        self._marks = {
+        self._tombstones = {
             name: known
-            if (known := self._marks.get(name)) is not None and known.revision == revision
-            else _Mark(revision, now)
-            for name, revision in marks.items()
+            if (known := self._tombstones.get(name)) is not None and known.revision == revision
+            else _Tombstone(revision, now)
+            for name, revision in tombstones.items()
         }
 
-    def note_answered(self, box: str) -> None:
+    def record_renewal(self, box: str) -> None:
         """Note that a round of another box is being answered."""
-        self._answered_at[box] = trio.current_time()
+        self._renewal_answered_at[box] = trio.current_time()
 
     def confirmed_dead(self) -> list[str]:
         """Return the boxes marked as dead that hold no lease any more."""
@@ -58,6 +58,8 @@
         listed_s = self._directory.listed_s(now)
         return [
             name
-            for name, mark in self._marks.items()
-            if holds_no_lease(mark.read_at, self._answered_at.get(name, -math.inf), listed_s, now)
+            for name, tombstone in self._tombstones.items()
+            if holds_no_lease(
+                tombstone.read_at, self._renewal_answered_at.get(name, -math.inf), listed_s, now
+            )
         ]
--- a/wharftiller/tests/daemons/sessions/test_snapshot_server.py
+++ b/wharftiller/tests/daemons/sessions/test_snapshot_server.py
@@ -22,9 +22,9 @@
 
 BOXES = 195
 
-QUESTION = {"box": "box-1", "incarnation": "1", "revision": 9, "list_revision": 0}
+REQUEST = {"box": "box-1", "incarnation": "1", "revision": 9, "list_revision": 0}
 
-BYTES_OF_A_CHANGE = 1_000
+MAX_CHANGE_BYTES = 1_000
 """Bytes of an answer after one box of 195 started: 23,417 with the whole list, 275 since."""
 
 
@@ -37,89 +37,93 @@
     return {each.name: each for each in map(box, range(BOXES))}
 
 
-def told_to(desk: SnapshotServer, list_revision: int) -> dict[str, Any]:
-    return desk.answer({**QUESTION, "list_revision": list_revision})
+def reply_to(server: SnapshotServer, list_revision: int) -> dict[str, Any]:
+    return server.handle_read({**REQUEST, "list_revision": list_revision})
 
 
 @pytest.fixture
-def desk() -> SnapshotServer:
+def server() -> SnapshotServer:
     state = SharedState("box-0", "hall-a", None, DecisionLog("proxy", "box-0"), None)  # type: ignore[arg-type]
     return SnapshotServer(state, "1")
 
 
-def note(desk: SnapshotServer, revision: int, boxes: dict[str, Box]) -> None:
-    desk.note(PlatformSnapshot(desk._state.leases.record, boxes, revision), trio.current_time())
+def store(server: SnapshotServer, revision: int, boxes: dict[str, Box]) -> None:
+    server.store(
+        PlatformSnapshot(server._state.leases.record, boxes, revision), trio.current_time()
+    )
 
 
 class TestRecord:
     """A record that came back with a copy must renew no lease of those who hear of it."""
 
-    def test_a_record_of_a_copy_is_told_as_one(self, desk: SnapshotServer) -> None:
-        of_a_copy = LeadershipRecord(9, updates=3, is_confirmed=False, era=2)
-        assert trio.run(self._taken, desk, of_a_copy, LeadershipRecord()) == of_a_copy
+    def test_a_restored_record_is_sent_as_one(self, server: SnapshotServer) -> None:
+        from_copy = LeadershipRecord(9, updates=3, is_confirmed=False, era=2)
+        assert trio.run(self._applied, server, from_copy, LeadershipRecord()) == from_copy
 
-    def test_a_record_that_the_asking_box_knows_is_told_as_one(self, desk: SnapshotServer) -> None:
-        of_a_copy = LeadershipRecord(9, updates=3, is_confirmed=False, era=2)
+    def test_a_restored_record_that_the_requester_has_is_marked(
+        self, server: SnapshotServer
+    ) -> None:
+        from_copy = LeadershipRecord(9, updates=3, is_confirmed=False, era=2)
         known = LeadershipRecord(9, updates=3, era=1)
-        assert trio.run(self._taken, desk, of_a_copy, known) == of_a_copy
+        assert trio.run(self._applied, server, from_copy, known) == from_copy
 
-    async def _taken(
-        self, desk: SnapshotServer, read: LeadershipRecord, known: LeadershipRecord
+    async def _applied(
+        self, server: SnapshotServer, read: LeadershipRecord, known: LeadershipRecord
     ) -> LeadershipRecord:
         """Return what a box that knows ``known`` takes from a reader that read ``read``."""
-        desk.note(PlatformSnapshot(read, all_boxes(), read.revision), trio.current_time())
-        question = {**QUESTION, "revision": known.revision}
-        taken: list[PlatformSnapshot] = []
+        server.store(PlatformSnapshot(read, all_boxes(), read.revision), trio.current_time())
+        request = {**REQUEST, "revision": known.revision}
+        applied: list[PlatformSnapshot] = []
 
-        def take(listing: PlatformSnapshot, asked_at: float) -> bool:
-            taken.append(listing)
+        def apply(snapshot: PlatformSnapshot, asked_at: float) -> bool:
+            applied.append(snapshot)
             return True
 
         state = SharedState("box-1", "hall-a", None, DecisionLog("proxy", "box-1"), None)  # type: ignore[arg-type]
         state.leases.adopt(known)
-        client = SnapshotClient(state, BoxDirectory(state, None, box(1)), box(1), take)  # type: ignore[arg-type]
-        client._take_answer(box(0), desk.answer(question), trio.current_time())
-        record = taken[0].record
+        client = SnapshotClient(state, BoxDirectory(state, None, box(1)), box(1), apply)  # type: ignore[arg-type]
+        client._take_reply(box(0), server.handle_read(request), trio.current_time())
+        record = applied[0].record
         assert record.is_confirmed is read.is_confirmed
         assert record.era == read.era
         return record
 
 
 class TestLists:
-    async def _changed(self, desk: SnapshotServer) -> dict[str, Any]:
-        note(desk, 1, all_boxes())
+    async def _changed(self, server: SnapshotServer) -> dict[str, Any]:
+        store(server, 1, all_boxes())
         boxes = {**all_boxes(), "box-3": box(3, "2")}
         del boxes["box-7"]
-        note(desk, 2, boxes)
-        return told_to(desk, 1)
+        store(server, 2, boxes)
+        return reply_to(server, 1)
 
-    def test_only_what_changed_is_told(self, desk: SnapshotServer) -> None:
-        told = trio.run(self._changed, desk)
-        assert [each["name"] for each in told["boxes"]] == ["box-3"]
-        assert told["gone"] == ["box-7"]
-        assert not told["whole"]
-        assert len(orjson.dumps(told)) < BYTES_OF_A_CHANGE
+    def test_only_changes_are_sent(self, server: SnapshotServer) -> None:
+        reply = trio.run(self._changed, server)
+        assert [each["name"] for each in reply["boxes"]] == ["box-3"]
+        assert reply["gone"] == ["box-7"]
+        assert not reply["whole"]
+        assert len(orjson.dumps(reply)) < MAX_CHANGE_BYTES
 
-    def test_a_box_that_knows_no_list_is_told_all(self, desk: SnapshotServer) -> None:
+    def test_a_box_without_a_list_gets_all(self, server: SnapshotServer) -> None:
         async def ask() -> dict[str, Any]:
-            note(desk, 1, all_boxes())
-            return told_to(desk, 0)
+            store(server, 1, all_boxes())
+            return reply_to(server, 0)
 
-        told = trio.run(ask)
-        assert len(told["boxes"]) == BOXES
-        assert told["whole"]
+        reply = trio.run(ask)
+        assert len(reply["boxes"]) == BOXES
+        assert reply["whole"]
 
-    def test_lists_of_long_ago_are_forgotten(self, desk: SnapshotServer) -> None:
+    def test_old_lists_are_dropped(self, server: SnapshotServer) -> None:
         async def ask() -> dict[str, Any]:
             for revision in range(1, LISTS_KEPT + 3):
-                note(desk, revision, {**all_boxes(), "box-3": box(3, str(revision))})
-            return told_to(desk, 1)
+                store(server, revision, {**all_boxes(), "box-3": box(3, str(revision))})
+            return reply_to(server, 1)
 
         assert trio.run(ask)["whole"]
 
-    def test_a_list_that_is_known_is_not_told(self, desk: SnapshotServer) -> None:
+    def test_a_current_list_is_not_sent_again(self, server: SnapshotServer) -> None:
         async def ask() -> dict[str, Any]:
-            note(desk, 1, all_boxes())
-            return told_to(desk, 1)
+            store(server, 1, all_boxes())
+            return reply_to(server, 1)
 
         assert trio.run(ask)["boxes"] is None
--- a/wharftiller/tests/platform/test_idle.py
+++ b/wharftiller/tests/platform/test_idle.py
@@ -18,7 +18,7 @@
 
 WATCHED_S = 5.0
 
-STEPS_A_SECOND = 75
+MAX_STEPS_PER_S = 75
 """Steps of all tasks for one box in a second, those of the stand-ins for its questions too.
 
 137 before tasks waited for something to watch, 63 since (24 boxes, virtual time).
@@ -35,53 +35,51 @@
         self.count += 1
 
 
-def run_large(story: Callable[[World], Awaitable[None]]) -> None:
+def run_large(scenario: Callable[[World], Awaitable[None]]) -> None:
     groups = [make_group(f"g{n}", network=20 + n, max_connections=SCARCE) for n in range(GROUPS)]
-    run_in_world(story, boxes=BOXES, groups=groups)
+    run_in_world(scenario, boxes=BOXES, groups=groups)
 
 
 class TestIdleBoxes:
     def test_tasks_seldom_run(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(WATCHED_S)
             steps = Steps()
             trio.lowlevel.add_instrument(steps)
             await trio.sleep(WATCHED_S)
             trio.lowlevel.remove_instrument(steps)
-            assert steps.count / BOXES / WATCHED_S < STEPS_A_SECOND
+            assert steps.count / BOXES / WATCHED_S < MAX_STEPS_PER_S
 
-        run_large(story)
+        run_large(scenario)
 
-    def test_homes_are_worked_out_once_for_each_list(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_gateways_are_planned_once_per_list(self, monkeypatch: pytest.MonkeyPatch) -> None:
         calls = []
 
-        def counted(max_connections: int, boxes: int, data_centres: int) -> GatewayPlan:
+        def counting(max_connections: int, boxes: int, data_centres: int) -> GatewayPlan:
             calls.append(boxes)
             return plan_gateways(max_connections, boxes, data_centres)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(WATCHED_S)
             monkeypatch.setattr(
-                "wharftiller.daemons.sessions.forwarding.gateways.plan_gateways", counted
+                "wharftiller.daemons.sessions.forwarding.gateways.plan_gateways", counting
             )
             await trio.sleep(WATCHED_S)
             assert not calls
 
-        run_large(story)
+        run_large(scenario)
 
-    def test_turns_are_worked_out_for_primaries_in_need_only(
-        self, monkeypatch: pytest.MonkeyPatch
-    ) -> None:
-        turns = []
+    def test_ranks_are_computed_only_for_failovers(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        ranks = []
 
-        def counted(mover: FailoverMonitor, what: str) -> int:
-            turns.append(what)
+        def counting(monitor: FailoverMonitor, what: str) -> int:
+            ranks.append(what)
             return 0
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(WATCHED_S)
-            monkeypatch.setattr(FailoverMonitor, "_turn", counted)
+            monkeypatch.setattr(FailoverMonitor, "_turn", counting)
             await trio.sleep(WATCHED_S)
-            assert not turns
+            assert not ranks
 
-        run_large(story)
+        run_large(scenario)
--- a/wharftiller/tests/platform/test_isolation.py
+++ b/wharftiller/tests/platform/test_isolation.py
@@ -8,7 +8,7 @@
 from wharftiller.core.sessions.isolation import BALANCER_SEES_S, MAX_ISOLATED_S
 from wharftiller.tests.platform.world import STORE_IP, World, make_group, run_in_world
 
-SEEN_S = 2.2
+DETECTION_S = 2.2
 """Time within which a box without callers notices a cut, in seconds.
 
 A primary that nobody asks is probed after 0.8 s, has 0.6 s to answer, and boxes
@@ -34,57 +34,57 @@
 
 class TestIsolation:
     def test_a_cut_off_data_centre_sends_its_callers_elsewhere_until_it_heals(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             cut_off_data_centre(world, 2)
-            await trio.sleep(SEEN_S)
+            await trio.sleep(DETECTION_S)
             assert ready_boxes(world) == ["box-1", "box-2"]
             world.network.heal()
-            await trio.sleep(SEEN_S)
+            await trio.sleep(DETECTION_S)
             assert ready_boxes(world) == ["box-1", "box-2", "box-3"]
             assert world.boxes["box-3"].events("isolated")
             assert world.boxes["box-3"].events("isolation_ended")
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_data_centre_that_hears_nobody_stays_isolated_as_long_as_the_cut(self) -> None:
+    def test_a_data_centre_that_reaches_nobody_stays_isolated_as_long_as_the_cut(self) -> None:
         """Although no primary stands in one of those that it does not hear."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             cut_off_data_centre(world, 2)
             for _ in range(10):
-                await trio.sleep(SEEN_S)
+                await trio.sleep(DETECTION_S)
                 assert "box-3" not in ready_boxes(world)
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_the_side_of_a_cut_that_has_the_primaries_serves_all(self) -> None:
         """Also where it is the smaller one: the others send their callers there."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             cut_off_data_centre(world, 0)
-            await trio.sleep(SEEN_S)
+            await trio.sleep(DETECTION_S)
             assert ready_boxes(world) == ["box-1"]
             world.network.heal()
-            await trio.sleep(SEEN_S)
+            await trio.sleep(DETECTION_S)
             assert ready_boxes(world) == ["box-1", "box-2", "box-3"]
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_data_centre_that_stays_silent_is_waited_for_only_a_while(self) -> None:
+    def test_isolation_ends_after_a_while_if_the_other_side_stays_silent(self) -> None:
         """It may be dead: the others are ready again when its primaries are being replaced."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             cut_off_data_centre(world, 0)
-            await trio.sleep(SEEN_S + MAX_ISOLATED_S + 0.5)
+            await trio.sleep(DETECTION_S + MAX_ISOLATED_S + 0.5)
             assert ready_boxes(world) == ["box-1", "box-2", "box-3"]
             await trio.sleep(6)
             assert "box-2" in ready_boxes(world)
             assert len(world.boxes["box-2"].events("isolated")) == 1
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_with_as_many_primaries_on_both_sides_nobody_is_isolated(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             cut_off_data_centre(world, 2)
             for _ in range(30):
                 await trio.sleep(0.1)
@@ -92,23 +92,23 @@
 
         led_here = make_group("seats", 2)
         led_here.servers[0].leads, led_here.servers[2].leads = False, True
-        run_in_world(story, groups=[led_here, make_group("tours", 3)])
+        run_in_world(scenario, groups=[led_here, make_group("tours", 3)])
 
     def test_an_isolated_box_goes_on_serving_what_it_can(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-3"], "bounded_staleness")
-            desk = await world.call(world.boxes["box-3"], "primary")
-            await desk.ask("READ seat1")
+            writer = await world.call(world.boxes["box-3"], "primary")
+            await writer.ask("READ seat1")
             cut_off_data_centre(world, 2)
-            await desk.send(b"QUERY id-1 READ seat1\r\n")
+            await writer.send(b"QUERY id-1 READ seat1\r\n")
             await trio.sleep(1.1)
             assert "box-3" not in ready_boxes(world)
             assert (await caller.ask("READ seat1"))[0] == "ROW none"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_sessions_at_rest_that_cannot_be_served_are_sent_elsewhere(self) -> None:
-        async def story(world: World) -> None:
+    def test_idle_sessions_that_cannot_be_served_are_closed(self) -> None:
+        async def scenario(world: World) -> None:
             groups = world.groups
             here = await world.call(world.boxes["box-3"], "primary", groups[0].name)
             others = [
@@ -118,42 +118,42 @@
             for caller in (here, *others):
                 await caller.ask("READ seat1")
             cut_off_data_centre(world, 2)
-            await trio.sleep(SEEN_S + BALANCER_SEES_S + 0.2)
+            await trio.sleep(DETECTION_S + BALANCER_SEES_S + 0.2)
             assert [await caller.line() for caller in others] == [None, None]
             assert (await here.ask("READ seat1"))[0] == "ROW none"
 
         led_here = make_group("seats", 2)
         led_here.servers[0].leads, led_here.servers[2].leads = False, True
-        run_in_world(story, groups=[led_here, make_group("tours", 3), make_group("guides", 4)])
+        run_in_world(scenario, groups=[led_here, make_group("tours", 3), make_group("guides", 4)])
 
-    def test_who_comes_although_the_balancer_knows_is_kept(self) -> None:
+    def test_a_session_opened_on_an_unready_box_is_kept(self) -> None:
         """No other box takes the session, or it would not be here."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             cut_off_data_centre(world, 2)
-            await trio.sleep(SEEN_S + BALANCER_SEES_S + 0.2)
+            await trio.sleep(DETECTION_S + BALANCER_SEES_S + 0.2)
             caller = await world.call(world.boxes["box-3"], "bounded_staleness", "tours")
             await trio.sleep(1.0)
             assert (await caller.ask("READ seat1"))[-1].startswith("READY I")
 
-        run_in_world(story, groups=[make_group("seats", 2), make_group("tours", 3)])
+        run_in_world(scenario, groups=[make_group("seats", 2), make_group("tours", 3)])
 
-    def test_dark_primaries_alone_isolate_nobody(self) -> None:
-        async def story(world: World) -> None:
+    def test_unreachable_primaries_alone_isolate_no_box(self) -> None:
+        async def scenario(world: World) -> None:
             for group in world.groups:
                 world.kill_server(group.primary)
             for _ in range(20):
                 await trio.sleep(0.1)
                 assert ready_boxes(world) == ["box-1", "box-2", "box-3"]
 
-        run_in_world(story, groups=[make_group("seats", 2), make_group("tours", 3)])
+        run_in_world(scenario, groups=[make_group("seats", 2), make_group("tours", 3)])
 
-    def test_an_outage_of_the_platform_isolates_nobody(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_outage_of_the_platform_isolates_no_box(self) -> None:
+        async def scenario(world: World) -> None:
             world.store.mode = StoreMode.AWAY
             await world.kill_box(world.boxes["box-3"])
             for _ in range(100):
                 await trio.sleep(0.1)
                 assert ready_boxes(world) == ["box-1", "box-2"]
 
-        run_in_world(story)
+        run_in_world(scenario)
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -25,11 +25,11 @@
 
 OUTAGE_S = 9.0
 
-WORDS_A_SECOND = 8.0
+MAX_REQUESTS_PER_S = 8.0
 """Questions to other boxes for each box and second: 18.6 with a round of every box in every
 second, 5.8 since (one group, virtual time)."""
 
-CALLS = 260
+MAX_CALLS = 260
 """Calls to the platform in the outage: 327 before boxes that nobody asks held back, 219 since."""
 
 
@@ -44,30 +44,30 @@
 
 
 class TestOutageOfThePlatform:
-    def test_boxes_ask_little_and_all_may_write(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        post, words = BoxDirectory.post, collections.Counter[str]()
+    def test_few_peer_requests_and_all_may_write(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        post, requests = BoxDirectory.post, collections.Counter[str]()
 
-        async def counted(directory: BoxDirectory, *args: Any) -> Any:
-            words[args[1]] += 1
+        async def counting(directory: BoxDirectory, *args: Any) -> Any:
+            requests[args[1]] += 1
             return await post(directory, *args)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             callers = [await world.call(box, "primary") for box in world.boxes.values()]
-            monkeypatch.setattr(BoxDirectory, "post", counted)
+            monkeypatch.setattr(BoxDirectory, "post", counting)
             world.store.mode = StoreMode.AWAY
             calls = world.store.calls
             until = trio.current_time() + OUTAGE_S
             while trio.current_time() < until:
                 for caller in callers:
                     assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
-            assert world.store.calls - calls < CALLS
-            assert words.total() / BOXES / OUTAGE_S < WORDS_A_SECOND
+            assert world.store.calls - calls < MAX_CALLS
+            assert requests.total() / BOXES / OUTAGE_S < MAX_REQUESTS_PER_S
 
-        run_in_world(story, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
+        run_in_world(scenario, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
 
-    def test_a_home_that_dies_is_followed_by_its_spare(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_spare_takes_over_from_a_gateway_that_dies(self) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             (gateway,) = gateways(world, "a")
             other = next(
@@ -81,15 +81,13 @@
             await world.kill_box(gateway)
             assert await write_until_done(caller, "WRITE seat1 x", AVOIDED_S) < 1.0
 
-        run_in_world(story, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
+        run_in_world(scenario, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
 
     @pytest.mark.parametrize("caller_at", ["the home", "another box"])
-    def test_a_home_that_starts_again_leaves_writes_to_those_with_leases(
-        self, caller_at: str
-    ) -> None:
+    def test_a_restarted_gateway_leaves_writes_to_those_with_leases(self, caller_at: str) -> None:
         """It has no lease before the platform is back; the others renew theirs in rounds."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             (gateway,) = gateways(world, "a")
             other = next(
@@ -111,4 +109,4 @@
                     assert not answer[0].startswith("ERROR"), answer
             assert trio.current_time() - started < 2.0
 
-        run_in_world(story, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
+        run_in_world(scenario, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
--- a/wharftiller/tests/platform/test_readers.py
+++ b/wharftiller/tests/platform/test_readers.py
@@ -19,7 +19,7 @@
 
 BOXES = 9
 
-MOST_LISTS = 6
+MAX_LISTS = 6
 """Lists read beside changes that the watches tell: 11 before each told revision was accounted
 for, 6 since, two of each box that begins to follow (virtual time)."""
 
@@ -30,7 +30,7 @@
     monkeypatch.setattr(readers, "MANY_BOXES", 4)
 
 
-def reading(world: World) -> list[str]:
+def reader_names(world: World) -> list[str]:
     """Return the boxes that read for others."""
     return [
         box.name
@@ -41,9 +41,9 @@
 
 class TestReaders:
     def test_one_box_a_data_centre_reads_and_all_may_write(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(10)
-            assert len(reading(world)) == 3
+            assert len(reader_names(world)) == 3
             before = world.store.calls
             await trio.sleep(20)
             assert world.store.calls - before < 20 * 3 * 2
@@ -51,12 +51,12 @@
                 caller = await world.call(box, "primary")
                 assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
     def test_entries_are_listed_after_changes_only(self) -> None:
         """In 20 s three readers made 75 reads of ten objects each before."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(10)
             before = world.store.listed, world.store.calls
             await trio.sleep(20)
@@ -67,10 +67,10 @@
                 assert box.process.proxy is not None
                 assert len(box.process.proxy._directory.boxes) == BOXES
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
     def test_an_outage_of_the_platform_stops_no_write(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             callers = [await world.call(box, "primary") for box in world.boxes.values()]
             world.store.mode = StoreMode.AWAY
             # Rounds take the list of boxes for 12 s; outages of 4 to 9 s were seen.
@@ -80,21 +80,21 @@
                     assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
                 await trio.sleep(0.02)
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
     def test_a_dead_reader_is_replaced_by_the_next(self) -> None:
-        async def story(world: World) -> None:
-            await world.kill_box(world.boxes[reading(world)[0]])
+        async def scenario(world: World) -> None:
+            await world.kill_box(world.boxes[reader_names(world)[0]])
             await trio.sleep(8)
             for box in world.boxes.values():
                 caller = await world.call(box, "primary")
                 assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
-    def test_a_reader_cut_from_the_platform_is_not_believed_for_long(self) -> None:
-        async def story(world: World) -> None:
-            world.network.cut([world.boxes[reading(world)[0]].ip], [STORE_IP])
+    def test_a_reader_cut_from_the_platform_is_not_relied_on(self) -> None:
+        async def scenario(world: World) -> None:
+            world.network.cut([world.boxes[reader_names(world)[0]].ip], [STORE_IP])
             world.store.deaf_watches = True
             document = world.store.spec("config", "main")
             await trio.sleep(3)
@@ -104,10 +104,10 @@
                 assert box.process.proxy is not None
                 assert box.process.proxy.state.version == 7
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
     @pytest.mark.parametrize("delay_s", [0.5, 60.0])
-    def test_a_fetch_that_fails_is_made_up_for(
+    def test_a_platform_read_replaces_a_failed_fetch(
         self, delay_s: float, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """A reader on a slow link: its boxes go on renewing their leases through it meanwhile."""
@@ -118,7 +118,7 @@
                 await trio.sleep(delay_s)
             return await handle(server, request)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             monkeypatch.setattr(BoxServer, "handle", slow)
             document = world.store.spec("config", "main")
@@ -129,20 +129,18 @@
                 assert box.process.proxy.state.version == 7
                 assert not box.events("reader_did_not_answer")
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
-    def test_nothing_is_told_that_the_other_box_knows(
-        self, monkeypatch: pytest.MonkeyPatch
-    ) -> None:
+    def test_state_that_the_peer_has_is_not_sent(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """A change of endpoints does not carry the configuration, however large, to each box."""
         told: list[dict[str, Any]] = []
         known = PeerSync.known
 
-        def noted(neighbours: PeerSync, asked: Any) -> dict[str, Any]:
-            told.append(known(neighbours, asked))
+        def recording(peer_sync: PeerSync, request: Any) -> dict[str, Any]:
+            told.append(known(peer_sync, request))
             return told[-1]
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             told.clear()
             leaving = world.groups[0].servers[2]
@@ -157,22 +155,22 @@
                 row = box.process.proxy.state.endpoints.rows[leaving.name]
                 assert row.leaving_since is not None
 
-        monkeypatch.setattr(PeerSync, "known", noted)
-        run_in_world(story, boxes=BOXES)
+        monkeypatch.setattr(PeerSync, "known", recording)
+        run_in_world(scenario, boxes=BOXES)
 
-    def test_changes_that_watches_tell_make_nobody_list_anew(
+    def test_changes_received_by_watch_cause_no_listing(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Configurations in quick succession, while a box stops and another starts."""
         list_all, listed = ObjectStore.list_all, []
 
-        async def noted(store: ObjectStore, kind: str, *args: Any, **named: Any) -> Any:
+        async def recording(store: ObjectStore, kind: str, *args: Any, **kwargs: Any) -> Any:
             listed.append(kind)
-            return await list_all(store, kind, *args, **named)
+            return await list_all(store, kind, *args, **kwargs)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
-            monkeypatch.setattr(ObjectStore, "list_all", noted)
+            monkeypatch.setattr(ObjectStore, "list_all", recording)
             document = world.store.spec("config", "main")
             world.boxes["box-9"].told.set()
             for version in range(2, 22):
@@ -180,11 +178,11 @@
                 await trio.sleep(0.08)
             await world.start_box(12)
             await trio.sleep(3)
-            assert listed.count(CONFIGURATION_KIND) + listed.count(ENDPOINT_KIND) <= MOST_LISTS
+            assert listed.count(CONFIGURATION_KIND) + listed.count(ENDPOINT_KIND) <= MAX_LISTS
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
-    def test_a_large_configuration_is_told_in_a_tenth_of_its_size(self) -> None:
+    def test_a_large_configuration_is_compressed_to_a_tenth(self) -> None:
         routes = [
             {"Name": f"r-{n}", "Host": f"host-{n}", "Kind": "primary", "Service": "seats"}
             for n in range(2_000)
@@ -193,8 +191,8 @@
         small = HttpResponse(200, {"configuration": routes}, compressed=True)
         assert len(small.encode()) < len(plain.encode()) / 10
 
-    def test_a_dark_primary_is_replaced_within_seconds(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_unreachable_primary_is_replaced_within_seconds(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("WRITE seat1 anna")
@@ -202,10 +200,10 @@
             assert await write_until_done(caller, "WRITE seat2 boris", 8.0) < 5.0
             assert len(group.promotions) == 1
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
-    def test_a_box_parted_from_all_stops_writing_by_itself(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_box_cut_off_from_all_stops_writing(self) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
             others = [each.ip for each in world.boxes.values() if each is not box]
@@ -213,4 +211,4 @@
             await trio.sleep(7)
             assert (await caller.ask("WRITE seat1 x"))[0].startswith("ERROR BUSY ")
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
--- a/wharftiller/tests/platform/test_starts.py
+++ b/wharftiller/tests/platform/test_starts.py
@@ -14,13 +14,13 @@
 
 BOXES = 24
 
-WORDS_EACH = 6
+MAX_REQUESTS_PER_BOX = 6
 """Questions and words to other boxes for each of 24 that start within a second, and 3 s more.
 
 176 before what a box reads first stopped being told as news, 3 since (virtual time).
 """
 
-CALLS = 5
+MAX_CALLS = 5
 """Calls to the platform for one box that starts, those of readers that look after it too.
 
 18 before neighbours told it and readers accounted for its entry; 5 since, two of its own and
@@ -36,58 +36,58 @@
 
 
 class TestManyAtOnce:
-    def test_they_ask_each_other_little(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        post, words = BoxDirectory.post, []
+    def test_few_requests_between_boxes(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        post, requests = BoxDirectory.post, []
 
-        async def counted(directory: BoxDirectory, *args: Any) -> Any:
-            words.append(args[1])
+        async def counting(directory: BoxDirectory, *args: Any) -> Any:
+            requests.append(args[1])
             return await post(directory, *args)
 
-        async def story(world: World) -> None:
-            assert len(words) / BOXES < WORDS_EACH
+        async def scenario(world: World) -> None:
+            assert len(requests) / BOXES < MAX_REQUESTS_PER_BOX
 
-        monkeypatch.setattr(BoxDirectory, "post", counted)
-        run_in_world(story, boxes=BOXES)
+        monkeypatch.setattr(BoxDirectory, "post", counting)
+        run_in_world(scenario, boxes=BOXES)
 
     def test_the_log_does_not_grow_with_the_square_of_the_boxes(self) -> None:
         """A line for each list that changes, not one for each box on it: 23 lines a box before."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             for box in world.boxes.values():
                 lines = box.events("boxes_listed")
                 assert len(lines) <= BOXES / 3
                 assert sum(line["new_count"] - line["gone_count"] for line in lines) == BOXES - 1
                 assert lines[-1]["listed"] == BOXES - 1
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
 
 class TestOneOfMany:
-    def test_it_learns_from_neighbours(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_it_syncs_from_peers(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(readers, "MANY_BOXES", 4)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
-            quiet = world.store.calls
+            idle_calls = world.store.calls
             await trio.sleep(5)
-            quiet = world.store.calls - quiet
+            idle_calls = world.store.calls - idle_calls
             before = world.store.calls
             box = await world.start_box(NO_READER)
             await trio.sleep(5)
-            assert world.store.calls - before - quiet <= CALLS
+            assert world.store.calls - before - idle_calls <= MAX_CALLS
             caller = await world.call(box, "primary")
             assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
 
-        run_in_world(story, boxes=9, bounds=PlatformBounds(configuration_in_force_s=6.0))
+        run_in_world(scenario, boxes=9, bounds=PlatformBounds(configuration_in_force_s=6.0))
 
     @pytest.mark.parametrize("reader_answers", [True, False])
-    def test_it_believes_no_seed_that_is_parted_from_the_platform(
+    def test_it_ignores_seeds_cut_off_from_the_platform(
         self, reader_answers: bool, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """The seeds still have a configuration that was replaced long ago."""
         monkeypatch.setattr(readers, "MANY_BOXES", 4)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             seeds = [world.boxes["box-1"].ip, world.boxes["box-2"].ip]
             others = [box.ip for box in world.boxes.values() if box.ip not in seeds]
@@ -103,7 +103,7 @@
             assert box.process.proxy is not None
             assert box.process.proxy.state.version == 7
 
-        run_in_world(story, boxes=9)
+        run_in_world(scenario, boxes=9)
 
 
 class TestAllAgain:
@@ -111,7 +111,7 @@
     def test_writes_are_taken_within_a_second(self, boxes: int) -> None:
         """All processes are killed; nobody is left who knows anything."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             for box in list(world.boxes.values()):
                 await world.kill_box(box)
@@ -121,4 +121,4 @@
             caller = await world.call(world.boxes["box-1"], "primary")
             assert await write_until_done(caller, "WRITE seat1 x", 3.0) < 1.0
 
-        run_in_world(story, boxes=boxes)
+        run_in_world(scenario, boxes=boxes)
