--- a/wharftiller/daemons/sessions/membership/__init__.py
+++ b/wharftiller/daemons/sessions/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The other boxes: who they are, what they tell, what is read for all."""
+"""Membership: the list of boxes, lease renewal, and reads of the platform."""
--- a/wharftiller/daemons/sessions/membership/box.py
+++ b/wharftiller/daemons/sessions/membership/box.py
@@ -1,4 +1,4 @@
-"""One box of the deployment, as it stands in the platform's list."""
+"""One box of the deployment, as listed by the platform."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @attrs.frozen
 class Box:
-    """Another box of the deployment.
+    """An entry of the platform's list of boxes.
 
     Attributes
     ----------
     relay : str
-        Where it connects other boxes to endpoints.
+        Address at which it relays other boxes' connections to endpoints.
     incarnation : str
-        Id of its process; another one means that the former process is gone.
+        Id of its process; another id means that the former process has ended.
     retired : str
-        Incarnation of the box that marked it as dead; empty while it is not. A box
-        that finds itself marked registers anew before its leases count.
+        Incarnation of the box that set the tombstone; empty if there is none. A
+        tombstoned box must register again before its leases count.
     """
 
     name: str
--- a/wharftiller/daemons/sessions/membership/box_list.py
+++ b/wharftiller/daemons/sessions/membership/box_list.py
@@ -1,4 +1,4 @@
-"""The list of all boxes, and what follows from it, worked out once for each list."""
+"""The list of all boxes and values derived from it, computed once per list."""
 
 from __future__ import annotations
 
@@ -11,19 +11,17 @@
 
 
 class BoxList:
-    """One list of boxes; never changes.
+    """An immutable list of boxes.
 
-    Lists change with starts and ends of boxes, but are asked some hundred times a second
-    even where nothing happens. Working these answers out for every question took 55 of the
-    98 ms a second that an idle box among 195 used under a profiler, in virtual time, and grew
-    with the number of boxes.
+    The derived values are read hundreds of times a second, but change only when a box
+    starts or ends.
 
     Parameters
     ----------
     own : Box
-        The box that keeps the list.
+        This box.
     others : dict of str to Box
-        The other boxes, those marked as dead among them.
+        The other boxes, including tombstoned ones.
     """
 
     def __init__(self, own: Box, others: dict[str, Box]) -> None:
@@ -38,19 +36,19 @@
 
     @property
     def near(self) -> list[str]:
-        """Names of this box and of the live ones in its data centre."""
+        """Names of the live boxes in this box's data centre, this one included."""
         return self.live[self._own.data_centre]
 
     @property
     def elsewhere(self) -> dict[str, list[str]]:
-        """Names of the live boxes of every other data centre."""
+        """Names of the live boxes of every other data centre, by data centre."""
         return {
             centre: names for centre, names in self.live.items() if centre != self._own.data_centre
         }
 
     @property
     def readers(self) -> list[Box]:
-        """The boxes that may read for this data centre, best first, this one among them."""
+        """The boxes that may read for this data centre, by rank, this one included."""
         if self._readers is None:
             known = {**self.others, self._own.name: self._own}
             self._readers = [known[name] for name in ranked("reader", self.near)]
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -1,4 +1,4 @@
-"""Answer what other boxes ask: rounds, words to stop, the record, what this box knows."""
+"""Handle requests of other boxes: lease renewal and release, the record, this box's state."""
 
 from __future__ import annotations
 
@@ -27,18 +27,17 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 QUIET_WAIT_S = 1.0
-"""Time for which writes under way may end before a planned change, in seconds."""
+"""Time that in-flight writes get to end before a planned failover, in seconds."""
 
 BOX_START_S = 2.0
-"""Time for a box to start, in seconds: one that stops is passed over for its grace and this."""
-
+"""Time for a box to start, in seconds; a stopping box is avoided for its grace period and this."""
 
 STATE_PATH = "/peer/known"
-"""Where boxes ask what this one knows; answers may be large and are compressed."""
+"""Path of the request for this box's state; replies may be large and are compressed."""
 
 
 def _as_async(handler: Callable[[Any], dict[str, Any]]) -> Handler:
-    """Return an answer that waits for nothing in the form of those that may."""
+    """Wrap a synchronous handler as an asynchronous one."""
 
     async def handler_async(request: Any) -> dict[str, Any]:
         return handler(request)
@@ -47,16 +46,16 @@
 
 
 class BoxServer:
-    """Answers other boxes' questions.
+    """Handles other boxes' requests.
 
     Parameters
     ----------
-    known : callable
-        Returns what a box that tells what it knows may learn from this one, as JSON.
-    check : callable
-        Asks endpoints, named in a list, that were not heard lately.
+    state_json : callable
+        Returns the part of this box's state that the requesting box lacks, as JSON.
+    check_endpoints : callable
+        Probes those of the named endpoints that had no recent contact.
     grace_s : float
-        Time between a box being told to stop and being killed, in seconds.
+        Time between a box's stop signal and its kill, in seconds.
     """
 
     def __init__(
@@ -94,16 +93,20 @@
         }
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one question."""
+        """Handle one request."""
         handler = self._handlers.get((request.method, request.path))
         if handler is None:
-            raise UnknownPathError(f"no {request.method} {request.path}; boxes ask under /peer/")
+            raise UnknownPathError(
+                f"no handler for {request.method} {request.path}; expected a request under /peer/"
+            )
         compressed = request.path == STATE_PATH
         return HttpResponse(200, await handler(request.json()), compressed=compressed)
 
     async def _handle_renewal(self, request: Any) -> dict[str, Any]:
         if not isinstance(request, dict) or not isinstance(request.get("revision"), int):
-            raise BadRequestError("a round's question names its revision; run one version")
+            raise BadRequestError(
+                "lease renewal without an integer 'revision'; run one version on all boxes"
+            )
         state = self._state
         self._tombstones.record_renewal(str(request.get("box")))
         endpoints = request.get("check") or ()
@@ -124,19 +127,21 @@
         }
 
     def _handle_change(self, _: Any) -> dict[str, Any]:
-        """Look for a newer configuration or list of endpoints."""
+        """Check for a newer configuration or list of endpoints."""
         self._state.check_soon.set()
         return {}
 
     async def _handle_leaving(self, value: Any) -> dict[str, Any]:
-        """Pass nothing new to a box that is stopping."""
+        """Forward nothing new to a box that is stopping."""
         if not isinstance(value, dict) or not isinstance(value.get("box"), str):
-            raise BadRequestError("a leaving box names itself; run one version")
+            raise BadRequestError(
+                "leaving notification without a 'box' name; run one version on all boxes"
+            )
         await self._gateway_client.leave(value["box"], self._grace_s + BOX_START_S)
         return {}
 
     def _reachable_primaries(self) -> list[str]:
-        """Return the primaries that answered lately, and not through another box."""
+        """Return the primaries with recent direct contact, not through a relay."""
         now = trio.current_time()
         leads = [self._state.lead(group) for group in self._state.leases.record.groups]
         rows = [
@@ -151,11 +156,13 @@
         ]
 
     def _adopt_record(self, value: Any) -> dict[str, Any]:
-        """Take in a record if it is newer."""
+        """Adopt a record if it is newer."""
         try:
             record = record_from_json(value["record"], value["revision"])
         except (KeyError, TypeError) as error:
-            raise BadRequestError(f"no record was told: {error!r}; run one version") from None
+            raise BadRequestError(
+                f"no valid record: {error!r}; run one version on all boxes"
+            ) from None
         if self._state.leases.adopt(record):
             self._state.log.change("record_adopted", revision=record.revision, source="box")
             self._state.check_soon.set()
@@ -163,7 +170,7 @@
         return {}
 
     async def _handle_release_request(self, value: Any) -> dict[str, Any]:
-        """Stop using the primaries being replaced."""
+        """Release the leases on the primaries being replaced."""
         self._adopt_record(value)
         record = self._state.leases.record
         if record.revision < value["revision"] or not record.moving:
@@ -173,7 +180,7 @@
         return {"stopped": True, "listed_ms": int(listed_s * 1000)}
 
     async def stop_using(self, record: LeadershipRecord) -> None:
-        """Stop using the primaries being replaced, where planned once writes have ended."""
+        """Release the leases on primaries being replaced; if planned, once writes have ended."""
         leases = self._state.leases
         for group, moving in record.moving.items():
             leases.close(group, moving.old.endpoint)
@@ -185,7 +192,7 @@
         self._state.wake()
 
     async def _wait_for_writes(self, group: str) -> None:
-        """Wait until this box's writes in ``group`` have ended, for some time at most."""
+        """Wait until this box's writes in ``group`` have ended, for `QUIET_WAIT_S` at most."""
         with trio.move_on_after(QUIET_WAIT_S):
             while not self._state.work.is_quiet(group):
                 await self._state.leadership_changed()
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -1,8 +1,8 @@
-"""What boxes ask one another: rounds that renew leases, words to stop, configuration.
+"""Requests to other boxes: lease renewal and release, notifications, state.
 
-A round is one question to every other box. Its answers carry the record's newest
-revision, the version of the configuration, log positions of primaries with the
-age of the question that told them, and which primaries the box hears.
+A renewal is one request to every other box. Its replies carry the newest revision of
+the record, the versions of configuration and endpoints, log positions of primaries
+with their age, and the primaries that the box can reach.
 """
 
 from __future__ import annotations
@@ -32,41 +32,40 @@
     from wharftiller.edges.transport import Transport
 
 MAX_NAMED = 8
-"""Boxes that one line of the log names; all are counted."""
+"""Maximum number of boxes named in one log line; the counts include all."""
 
 MAX_PROBES = 2
-"""Times a box is asked whether it lives before its process counts as ended."""
-
+"""Refused probes after which a box's process counts as ended."""
 
 RENEWAL_S = 1.0
-"""Time between rounds, in seconds: a lease of 6 s survives four that fail."""
+"""Time between lease renewals, in seconds: a lease of 6 s survives four failed ones."""
 
 REPLIES_KEPT_S = 5.0
-"""Time for which a round's answers say who lives, in seconds."""
+"""Age up to which the replies of a renewal show which boxes are alive, in seconds."""
 
 RENEWAL_TIMEOUT_S = 0.7
-"""Time a box has to answer in a round, in seconds."""
+"""Timeout of a renewal request, in seconds."""
 
 RELEASE_TIMEOUT_S = 1.5
-"""Time a box has to give its word, in seconds; it may first let its writes end."""
+"""Timeout of a request to release leases, in seconds; in-flight writes may end first."""
 
 MAX_READ_AGE_S = 3600.0
-"""Age told of a read that never was, in seconds."""
+"""Age reported if the platform was never read, in seconds; older reads report it too."""
 
 CONTACT_RECENT_S = 1.0
-"""A primary that answered within this time counts as heard, in seconds."""
+"""A primary that answered within this time counts as reachable, in seconds."""
 
 
 @attrs.frozen
 class BoxReply:
-    """One box's answer in a round.
+    """One box's reply to a renewal.
 
     Attributes
     ----------
     platform_answers : bool
-        Whether its last read of the platform was answered.
+        Whether its last read of the platform succeeded.
     hears : frozenset of str
-        The primaries that it hears.
+        The primaries that it can reach directly.
     """
 
     answer: RenewalReply
@@ -77,18 +76,20 @@
 
 
 class BoxDirectory:
-    """The other boxes, and this box's questions to them.
+    """The other boxes, and this box's requests to them.
 
     Attributes
     ----------
     list : BoxList
         Every box; replaced whenever it changes.
     listed_since : float or None
-        When this process first read its own entry in the list of boxes.
+        When this process first read its own entry in the list of boxes, in seconds.
+    renewal_sent_at : float
+        When the last renewal was sent, in seconds.
     platform_answers : bool
-        Whether this box's last read of the platform was answered.
+        Whether this box's last read of the platform succeeded.
     platform_read_at : float
-        When the newest read that any box made and was answered was asked for.
+        When the newest successful read of the platform by any box was sent, in seconds.
     """
 
     def __init__(self, state: SharedState, transport: Transport, box: Box) -> None:
@@ -108,24 +109,24 @@
 
     @property
     def boxes(self) -> dict[str, Box]:
-        """The other boxes by name, those marked as dead among them."""
+        """The other boxes by name, including tombstoned ones."""
         return self.list.others
 
     @property
     def replies(self) -> dict[str, BoxReply]:
-        """The answers of the last round, unless it was long ago."""
+        """The replies to the last renewal; empty if it is older than `REPLIES_KEPT_S`."""
         if trio.current_time() - self.renewal_sent_at > REPLIES_KEPT_S:
             return {}
         return self._replies
 
     @property
     def is_reading_box(self) -> bool:
-        """Whether this box goes first of those that the platform answers."""
+        """Whether this box ranks first of those that can read the platform."""
         reading = [name for name, reply in self.replies.items() if reply.platform_answers]
         return takeover_rank(self._box.name, reading, "reader") == 0
 
     def replace_list(self, boxes: dict[str, Box]) -> None:
-        """Take in the platform's list of the other boxes."""
+        """Replace the list of the other boxes with one read from the platform."""
         if boxes == self.boxes:
             return
         gone = self.boxes.keys() - boxes.keys()
@@ -136,9 +137,9 @@
         self.list = BoxList(self._box, boxes)
 
     def _log_change(self, new: Set[str], gone: Set[str], listed: int) -> None:
-        """Log a change of the list in one line, however many boxes it names.
+        """Log a change of the list in one line.
 
-        A line for each would grow with the square of the boxes when all of them start.
+        One line per box would grow with the square of the number of boxes when all start.
         """
         if new or gone:
             self._state.log.change(
@@ -157,16 +158,16 @@
         check: tuple[str, ...] = (),
         among: list[Box] | None = None,
     ) -> bool:
-        """Ask every other box; return whether the answers renewed the leases.
+        """Send a renewal to every other box; return whether the replies renewed the leases.
 
         Parameters
         ----------
         no_older_than_s : float
-            A round that began within this time is taken as this one.
+            Send nothing and return False if the last renewal began within this time, in seconds.
         check : tuple of str
-            Endpoints that the others are to ask first if they did not hear them lately.
+            Endpoints that the others probe before they reply, if they had no recent contact.
         among : list of Box or None
-            The boxes to ask instead of every other one; their answers renew no lease.
+            The boxes to ask instead of all others; their replies renew no lease.
         """
         asked_at = trio.current_time()
         if asked_at - self.renewal_sent_at < no_older_than_s:
@@ -231,26 +232,27 @@
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadRequestError(
-                f"{box.name} answered a round with nonsense: {error!r}. Run one version everywhere"
+                f"{box.name} sent a malformed renewal reply: {error!r}; "
+                "run one version on all boxes"
             ) from None
 
     def read_age_ms(self) -> int:
-        """Return the age of the newest read of the platform that is known, in milliseconds."""
+        """Return the age of the newest known read of the platform, in milliseconds."""
         age_s = min(trio.current_time() - self.platform_read_at, MAX_READ_AGE_S)
         return int(age_s * 1000) + 1
 
     def live(self) -> list[str]:
-        """Return the other boxes taken to be alive."""
+        """Return the other boxes that are presumed alive."""
         if self.replies:
             return list(self.replies)
         return [name for name, box in self.boxes.items() if not box.retired]
 
     def boxes_to_json(self) -> list[dict[str, str]]:
-        """Return all boxes known, this one included, as JSON."""
+        """Return all known boxes, this one included, as JSON."""
         return [attrs.asdict(box) for box in (self._box, *self.boxes.values())]
 
     def relay_to(self, endpoint: str) -> str | None:
-        """Return where a box listens that hears ``endpoint``, the nearest first."""
+        """Return the relay address of a box that reaches ``endpoint``, preferably a near one."""
         reaching = [n for n, reply in self.replies.items() if endpoint in reply.hears]
         near = [n for n in reaching if self._is_near(n)]
         for name in ranked(self._state.box + endpoint, near or reaching):
@@ -264,17 +266,17 @@
         return box is not None and box.data_centre == self._state.data_centre
 
     async def post(self, box: Box, path: str, body: Any, timeout_s: float) -> Any:
-        """Ask a box something; return its answer.
+        """Send a request to a box; return the body of its reply.
 
         Raises
         ------
         ExchangeError
-            If it does not answer in time.
+            If it does not reply in time, or not with status 200.
         """
         return await self._post_on(self._client(box.address), box, path, body, timeout_s)
 
     async def is_alive(self, box: Box, timeout_s: float) -> bool:
-        """Return whether a box answers at once."""
+        """Return whether a box answers a probe within ``timeout_s``."""
         try:
             await self._probe(box, timeout_s)
         except ExchangeError as error:
@@ -283,20 +285,20 @@
         return True
 
     async def probe_outcome(self, box: Box, timeout_s: float) -> ProbeOutcome:
-        """Return what comes of a question to a box."""
+        """Probe a box and return the outcome."""
         for _ in range(MAX_PROBES):
             try:
                 await self._probe(box, timeout_s)
             except NoAnswerInTimeError:
                 return ProbeOutcome.SILENT
             except ExchangeError:
-                # Its end, or only that of the connection: a process that lives takes a new one.
+                # Only the connection may have ended: a live process accepts a new one.
                 continue
             return ProbeOutcome.ANSWERED
         return ProbeOutcome.REFUSED
 
     async def _probe(self, box: Box, timeout_s: float) -> None:
-        """Ask on a connection of its own: a round on the other may wait for a status."""
+        """Probe on a separate connection: a renewal on the shared one may wait for endpoints."""
         client = self._alive_clients.get(box.address)
         if client is None:
             client = self._alive_clients[box.address] = HttpClient(self._transport, box.address)
@@ -306,7 +308,9 @@
     async def _post_on(client: HttpClient, box: Box, path: str, body: Any, timeout_s: float) -> Any:
         answer = await client.request("POST", path, body, timeout_s=timeout_s)
         if answer.status != 200:
-            raise ExchangeError(f"{box.name} answered {answer.status} to {path}")
+            raise ExchangeError(
+                f"{box.name} answered {path} with status {answer.status}; expected 200"
+            )
         return answer.json()
 
     def _client(self, address: str) -> HttpClient:
@@ -316,16 +320,16 @@
         return client
 
     def listed_s(self, now: float) -> float:
-        """Return for how long this process has been listed, in seconds."""
+        """Return how long this process has been listed, in seconds."""
         return 0.0 if self.listed_since is None else now - self.listed_since
 
     async def request_release(self, box: Box, record: LeadershipRecord) -> float | None:
-        """Ask a box to stop using the primaries being replaced.
+        """Request that a box releases its leases on the primaries being replaced.
 
         Returns
         -------
         float or None
-            For how long the box has been listed, in seconds; None if it has not stopped.
+            How long the box has been listed, in seconds; None if it did not release them.
         """
         body = {"revision": record.revision, "record": record_to_json(record)}
         try:
@@ -338,16 +342,16 @@
         return float(value.get("listed_ms") or 0) / 1000
 
     async def send_record(self, record: LeadershipRecord, boxes: list[Box] | None = None) -> None:
-        """Tell ``boxes``, every other one if None, of a new record."""
+        """Send a new record to ``boxes``, or to every other box if None."""
         body = {"revision": record.revision, "record": record_to_json(record)}
         await self._notify("/peer/record", body, boxes)
 
     async def notify_change(self, boxes: list[Box]) -> None:
-        """Have ``boxes`` look for a newer configuration or list of endpoints."""
+        """Notify ``boxes`` that a newer configuration or list of endpoints may exist."""
         await self._notify("/peer/news", {}, boxes)
 
     async def send_leaving(self) -> None:
-        """Tell the boxes of this data centre that this one is stopping."""
+        """Notify the boxes of this data centre that this one is stopping."""
         near = [box for name, box in self.boxes.items() if self._is_near(name)]
         await self._notify("/peer/leaving", {"box": self._state.box}, near)
 
@@ -365,9 +369,9 @@
     async def fetch_state(
         self, address: str, own: StateVersions, timeout_s: float
     ) -> dict[str, Any] | None:
-        """Return what the box at ``address`` knows beyond ``own``; None if it does not answer.
+        """Return the state of the box at ``address`` beyond ``own``; None if it does not answer.
 
-        On a connection of its own: a large configuration on a slow link would hold up rounds.
+        Uses a separate connection: a large configuration on a slow link would delay renewals.
         """
         client = HttpClient(self._transport, address)
         try:
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Watch whether this box is parted from most primaries, and carry out what that decides."""
+"""Detect whether this box is cut off from most primaries, and shed sessions if it is."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 POLL_S = 0.1
-"""Time between looks at whether the groups can be served, in seconds."""
+"""Time between checks of whether the groups can be served, in seconds."""
 
 MAX_PROBED_BOXES = 2
-"""Boxes of another data centre asked before it counts as silent."""
+"""Boxes probed in another data centre; it is unresponsive if none answers."""
 
 PROBE_TIMEOUT_S = 0.25
-"""Time a box elsewhere has to answer, in seconds: one lost packet is sent again after 0.2 s."""
+"""Timeout of such a probe, in seconds; allows one retransmission, sent after 0.2 s."""
 
 
 class IsolationWatch:
-    """Watches whether this box is parted from most primaries and the boxes beside them."""
+    """Detects whether this box is cut off from most primaries and the boxes near them."""
 
     def __init__(
         self, state: SharedState, directory: BoxDirectory, sessions: SessionServer
@@ -39,11 +39,11 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether new sessions are better served elsewhere."""
+        """Whether new sessions should go to another data centre."""
         return self._isolation.since is not None
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Check periodically, forever."""
         while True:
             await trio.sleep(POLL_S)
             await self._check()
@@ -77,8 +77,8 @@
     def _unusable(self) -> frozenset[str]:
         """Return the groups to whose primary this box cannot send a statement now.
 
-        A way through another box counts only once the primary was heard on it: such ways
-        are chosen by what other boxes told before the cut.
+        A relay counts only after contact with the primary through it: relays are chosen
+        from replies that other boxes sent before the cut.
         """
         now = trio.current_time()
         unusable = set()
@@ -93,7 +93,7 @@
         return frozenset(unusable)
 
     def _primary_centres(self, unusable: frozenset[str]) -> dict[str, str]:
-        """Return the other data centres where ``unusable`` primaries stand, by group."""
+        """Return the data centre of each ``unusable`` primary outside this one, by group."""
         centres = {}
         for group in unusable:
             row = self._state.endpoints.rows.get(self._state.lead(group) or "")
@@ -102,7 +102,7 @@
         return centres
 
     async def _silent_among(self, centres: frozenset[str]) -> frozenset[str]:
-        """Return those of ``centres`` that have boxes, none of which answers."""
+        """Return those of ``centres`` whose probed boxes all fail to answer."""
         elsewhere = self._directory.list.elsewhere
         responding: set[str] = set()
 
--- a/wharftiller/daemons/sessions/membership/lease_renewal.py
+++ b/wharftiller/daemons/sessions/membership/lease_renewal.py
@@ -1,4 +1,4 @@
-"""Renew this box's leases by what other boxes answer, and look for news that they have."""
+"""Renew this box's leases from other boxes' replies, and fetch newer state from them."""
 
 from __future__ import annotations
 
@@ -17,28 +17,25 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 RENEWALS_AFTER_S = 2.5
-"""Age of the newest read from which boxes of a large deployment make rounds, in seconds.
+"""Age of the newest read from which boxes of a large deployment ask each other, in seconds.
 
-Less than half of the lease (6 s): several rounds fit in before it runs out.
+Less than half of the lease (6 s), so that several renewals fit in before it expires.
 """
 
-
 RENEWALS_APART_S = 2.0
-"""Time between the rounds of a large deployment's outage, in seconds.
+"""Time between renewals while a large deployment has no platform, in seconds.
 
-A lease of 6 s survives one that fails. With a second between them and every box making them,
-60 boxes spent 24 ms of processor time a box and second in an outage, and that grows with their
-number.
+A lease of 6 s survives one failed renewal; the cost per box grows with the number of boxes.
 """
 
 
 class LeaseRenewer:
-    """Asks the other boxes, or a reader among them, once in a while.
+    """Renews the leases periodically, through the other boxes or a reader.
 
     Parameters
     ----------
     may_run : callable
-        Whether other boxes may pass statements to this one, so that it needs leases.
+        Returns whether other boxes may forward statements to this one, so that it needs leases.
     """
 
     def __init__(
@@ -60,11 +57,11 @@
 
     @property
     def renewed(self) -> bool:
-        """Whether the last answers renewed the leases."""
+        """Whether the last replies renewed the leases."""
         return self._renewed
 
     async def run(self) -> None:
-        """Ask for ever."""
+        """Renew periodically, forever."""
         while True:
             self._state.check_soon = trio.Event()
             if self._readers.applies:
@@ -76,7 +73,7 @@
                 await self._state.check_soon.wait()
 
     async def _renew_by_reader(self) -> bool:
-        """Renew the leases through a reader; by a round once that has failed for a while."""
+        """Renew the leases through a reader; ask the other boxes too if reads become old."""
         renewed = self._readers.is_reader or await self._readers.ask()
         if self._readers.newer_state_at is not None:
             self._nursery.start_soon(self._peer_sync.sync_from, self._readers.newer_state_at)
@@ -88,7 +85,7 @@
         return renewed
 
     async def _renew_in_outage(self) -> None:
-        """Ask everybody, if this box needs leases; else only those who hear news first."""
+        """Ask all boxes if this one needs leases; else only those that watch the platform."""
         among = None if self._may_run() else self._readers.followers()
         await self._directory.round(no_older_than_s=RENEWALS_APART_S, among=among)
         self._peer_sync.sync_newer()
--- a/wharftiller/daemons/sessions/membership/peer_sync.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -1,4 +1,4 @@
-"""Learn configuration and endpoints from other boxes, and tell them what this one knows."""
+"""Fetch configuration and endpoints from other boxes, and serve this box's state to them."""
 
 from __future__ import annotations
 
@@ -22,42 +22,49 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 SEEDS_TIMEOUT_S = 0.15
-"""Time that a starting box waits for the seeds before it reads the platform's lists, in seconds.
+"""Time that a starting box waits for the seeds before it lists the platform, in seconds.
 
-Between data centres of a region a seed answers within some 10 ms; after a loss of power, when
-none does, all boxes wait for this.
+Seeds in the same region answer within some 10 ms; if none runs, every box waits this long.
 """
 
 SYNC_RETRY_S = 0.5
-"""Time between questions to neighbours while nothing is configured, in seconds."""
+"""Time between requests to seeds while nothing is configured, in seconds."""
 
 CURRENT_FRACTION = 0.6
-"""What is left beside a box's own list of a configuration (0.4), as such a part."""
+"""Maximum age of a peer's read, as a fraction of the time in which a configuration is in force.
+
+The rest (0.4) is for this box's own listing of the platform.
+"""
 
 CURRENT_MARGIN_S = 1.0
-"""Time by which what a neighbour tells must be younger than that to count as current, in seconds.
+"""Margin subtracted from that age, in seconds.
 
-A reader that turns out to be silent has 0.7 s to answer and is looked at every 0.25 s; then the
-box that starts lists for itself, and still has the configuration in force in time.
+Covers the timeout of an unresponsive reader (0.7 s) and the poll that detects it (0.25 s),
+after which a starting box lists the platform itself.
 """
 
 FETCH_FRACTION = 0.3
-"""Time for a fetch, as a part of that within which a configuration is in force.
+"""Timeout of a fetch, as a fraction of the time in which a configuration is in force.
 
-With a reader's pause (0.27) and the second until its box asks it, a third of 3 s, something
-is left to read the platform itself where the fetch fails.
+Together with the interval between a reader's reads (0.27) and between requests to it (1 s),
+it leaves time to read the platform if the fetch fails.
 """
 
 
 class PeerSync:
-    """What other boxes know that this one does not.
+    """Exchanges configuration and endpoints with other boxes.
+
+    Attributes
+    ----------
+    seeds_tried : trio.Event
+        Set once the seeds have been asked at the start.
 
     Parameters
     ----------
     seeds : sequence of str
-        Addresses of other boxes that may be asked at a start.
+        Addresses of other boxes that may be asked at the start.
     decode_configuration : callable
-        Turns a configuration's document into the configuration.
+        Decodes a configuration from its document.
     """
 
     def __init__(
@@ -83,36 +90,38 @@
 
     @property
     def fetch_failed(self) -> bool:
-        """Whether the last fetch failed: what it was for is better read from the platform."""
+        """Whether the last fetch failed, so that the platform should be read instead."""
         return self._fetch_failed
 
     @property
     def has_state(self) -> bool:
-        """Whether this box knows a configuration and endpoints."""
+        """Whether this box has a configuration and endpoints."""
         return self._state.version > 0 and bool(self._state.endpoints.rows)
 
     @property
     def is_current(self) -> bool:
-        """Whether a neighbour told this box what was read from the platform lately."""
+        """Whether a peer sent state from a recent read of the platform."""
         return trio.current_time() - self._read_at < self._current_age_s
 
     def known(self, request: Any) -> dict[str, Any]:
-        """Return what another box may learn from this one, as JSON.
+        """Return the part of this box's state that another box lacks, as JSON.
 
         Parameters
         ----------
-        asked : object
-            What it knows, as JSON; nothing that it knows is told again.
+        request : object
+            The other box's state versions, as JSON.
 
         Raises
         ------
         BadRequestError
-            If it tells something else.
+            If the request has no valid state versions.
         """
         try:
             requester = StateVersions.from_json(request["knows"])
         except (KeyError, TypeError, ValueError) as error:
-            raise BadRequestError(f"no knowledge was told: {error!r}; run one version") from None
+            raise BadRequestError(
+                f"no valid state versions: {error!r}; run one version on all boxes"
+            ) from None
         own = self._state.knowledge
         rows = self._state.endpoints.rows.values()
         return {
@@ -130,10 +139,10 @@
         }
 
     async def sync_at_start(self) -> None:
-        """Ask the seeds at once, and for as long as this box knows no configuration.
+        """Fetch state from the seeds, and retry until this box has a configuration.
 
-        Only those that answer at once spare it the platform's lists: of a data centre that
-        starts again nobody knows anything.
+        Seeds that do not answer within `SEEDS_TIMEOUT_S` do not delay the start: after a
+        restart of all boxes none of them has any state.
         """
         with trio.move_on_after(SEEDS_TIMEOUT_S):
             await self._sync_from_seeds()
@@ -148,7 +157,7 @@
                 await self.sync_from(address)
 
     def sync_newer(self) -> None:
-        """Fetch configuration and endpoints from a box that knows newer ones."""
+        """Fetch configuration and endpoints from a box that has newer ones."""
         for name, reply in self._directory.replies.items():
             box = self._directory.boxes.get(name)
             if box is not None and self._state.knowledge.lacks(reply.knowledge):
@@ -157,13 +166,13 @@
         self.mark_up_to_date()
 
     def mark_up_to_date(self) -> None:
-        """Note that no other box knows more."""
+        """Record that no known box has newer state."""
         self._fetch_failed = False
 
     async def sync_from(self, address: str) -> None:
-        """Take in what the box at ``address`` knows and this one does not.
+        """Fetch and apply the state that the box at ``address`` has and this one lacks.
 
-        One fetch at a time: a slow one is not made slower by the next.
+        Runs one fetch at a time, so that a slow one is not slowed down further.
         """
         if self._is_fetching:
             return
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -1,10 +1,10 @@
-"""Large deployments: one box a data centre reads the platform for the others in it.
+"""Readers: in large deployments one box per data centre reads the platform for the others.
 
-Where a deployment has few boxes each asks every other once a second. That grows with
-the square of their number, so from `MANY_BOXES` on each asks only a reader, which
-tells what it read from the platform and when. A read proves the same whoever makes
-it, if the asking box was already listed in it; so a lease renewed by a reader is as
-good as one renewed by an own read. Rounds of all boxes remain for outages.
+In a small deployment each box asks every other once a second. The cost grows with the
+square of the number of boxes, so from `MANY_BOXES` on each box asks only a reader, which
+returns its newest snapshot of the platform and the snapshot's age. A snapshot that lists the
+requesting box renews its leases as a read of its own does. Boxes ask all others only while
+the platform is unavailable.
 """
 
 from __future__ import annotations
@@ -29,34 +29,38 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 MANY_BOXES = 16
-"""Other boxes from which readers take the place of rounds.
-
-What rounds cost the deployment grows with the square of the number.
-"""
+"""Number of other boxes from which readers are used instead of renewals by all boxes."""
 
 READERS_TRIED = 4
-"""Readers asked in turn before a box reads the platform itself.
+"""Readers tried in order before a box reads the platform itself.
 
-Where the platform turns a third of the boxes away, all four are among them in one data centre
-of eighty by chance; with two, in one of nine all of its boxes would read.
+If the platform rejects a third of the boxes, all four fail in one data centre of eighty.
 """
 
 READ_FRESH_S = 2.5
-"""Age beyond which a reader's read is not worth taking, in seconds: three of its pauses."""
+"""Age beyond which a reader's snapshot is stale, in seconds: three intervals of its reads."""
 
 LISTS_KEPT = 16
-"""Lists of boxes from which a reader tells changes only; an older one is told whole.
+"""Recent lists of boxes for which a reader sends only changes; for older ones it sends all.
 
 Boxes ask once a second, and lists are read every 0.8 s.
 """
 
 REQUEST_RECENT_S = 5.0
-"""A box that has not asked its reader for so long counts as silent, in seconds."""
+"""A box that has not asked its reader within this time counts as unresponsive, in seconds."""
 
 
 @attrs.define
 class LastRead:
-    """The newest read of the platform that this box made itself."""
+    """The newest snapshot that this box read from the platform itself.
+
+    Attributes
+    ----------
+    asked_at : float
+        When the read was sent, in seconds.
+    list_revision : int
+        Revision at which its list of boxes was first read.
+    """
 
     snapshot: PlatformSnapshot | None = None
     asked_at: float = 0.0
@@ -65,14 +69,14 @@
 
 @attrs.frozen
 class ListChange:
-    """How the list of boxes came about from an older one.
+    """The difference between two lists of boxes.
 
     Attributes
     ----------
     boxes : list of dict
         The entries that are new or changed, as JSON.
     gone : list of str
-        Names that are in the list no more.
+        Names that were removed.
     """
 
     boxes: list[dict[str, str]]
@@ -80,13 +84,19 @@
 
     @classmethod
     def between(cls, old: dict[str, Box], new: dict[str, Box]) -> ListChange:
-        """Return what leads from ``old`` to ``new``."""
+        """Return the change from ``old`` to ``new``."""
         changed = [attrs.asdict(box) for name, box in new.items() if old.get(name) != box]
         return cls(changed, sorted(old.keys() - new.keys()))
 
 
 class SnapshotServer:
-    """Answers boxes that ask this one for its reads."""
+    """Serves this box's snapshots of the platform to other boxes.
+
+    Attributes
+    ----------
+    asked_at : dict of str to float
+        When each box last asked, in seconds.
+    """
 
     def __init__(self, state: SharedState, incarnation: str) -> None:
         self._state = state
@@ -97,7 +107,7 @@
         self.asked_at: dict[str, float] = {}
 
     def store(self, snapshot: PlatformSnapshot, asked_at: float) -> None:
-        """Keep a read that this box made."""
+        """Store a snapshot that this box read, requested at ``asked_at`` (seconds)."""
         known = self._last.snapshot
         if known is None or known.boxes != snapshot.boxes:
             self._last.list_revision = snapshot.revision
@@ -109,18 +119,20 @@
         self._last.asked_at = asked_at
 
     def handle_read(self, request: Any) -> dict[str, Any]:
-        """Return what was read last, as far as the asking box does not know it.
+        """Return the parts of the newest snapshot that the requesting box lacks.
 
         Raises
         ------
         BadRequestError
-            If the question is none.
+            If the request is malformed.
         """
         try:
             name, incarnation = str(request["box"]), str(request["incarnation"])
             revision, list_revision = int(request["revision"]), int(request["list_revision"])
         except (KeyError, TypeError, ValueError) as error:
-            raise BadRequestError(f"no question to a reader: {error!r}; run one version") from None
+            raise BadRequestError(
+                f"malformed request to a reader: {error!r}; run one version on all boxes"
+            ) from None
         now = trio.current_time()
         self.asked_at[name] = now
         snapshot = self._last.snapshot
@@ -152,9 +164,9 @@
         return reply
 
     def _change_since(self, list_revision: int, boxes: dict[str, Box]) -> ListChange:
-        """Return what leads from the list of a revision, empty if unknown, to ``boxes``.
+        """Return the change from the list of a revision, empty if unknown, to ``boxes``.
 
-        While boxes start and stop, 38 others ask one reader for each new list of 195.
+        Cached, because many boxes ask for the same change.
         """
         change = self._changes.get(list_revision)
         if change is None:
@@ -164,19 +176,19 @@
 
 
 class SnapshotClient:
-    """Asks readers for what they read.
+    """Requests snapshots of the platform from readers.
 
     Attributes
     ----------
     newer_state_at : str or None
-        Address of a reader that knows more than this box.
+        Address of a reader with newer state than this box.
     is_silent : bool
-        Whether the last one asked did not answer, or had read nothing lately.
+        Whether the last reader asked did not answer or had no recent snapshot.
 
     Parameters
     ----------
-    take : callable
-        Takes a listing and when it was asked for; returns whether this box is in it.
+    apply : callable
+        Applies a snapshot, given when it was requested; returns whether it lists this box.
     """
 
     def __init__(
@@ -197,7 +209,7 @@
 
     @property
     def data_centre(self) -> str:
-        """Where this box stands."""
+        """The data centre of this box."""
         return self._box.data_centre
 
     @property
@@ -206,7 +218,7 @@
         return len(self._directory.boxes) >= MANY_BOXES
 
     def readers(self) -> list[Box]:
-        """Return the boxes to ask in this box's data centre, best first, this one among them."""
+        """Return the candidate readers of this box's data centre by rank, this box included."""
         return self._directory.list.readers
 
     @property
@@ -216,13 +228,13 @@
 
     @property
     def is_asked(self) -> bool:
-        """Whether the boxes of this data centre may ask this one for its reads."""
+        """Whether other boxes of this data centre may ask this one for its snapshots."""
         return self._box in self.readers()[:READERS_TRIED]
 
     def followers(self) -> list[Box]:
-        """Return the other boxes that follow the platform's changes: readers, if they apply.
+        """Return the other boxes that watch the platform: only the readers, if readers are used.
 
-        Those behind a reader hear from it within a second.
+        The others receive changes from their reader within a second.
         """
         boxes = self._directory.list
         if not self.applies:
@@ -231,7 +243,7 @@
         return [boxes.others[name] for name in readers if name != self._box.name]
 
     async def ask(self) -> bool:
-        """Ask a reader; return whether its read was taken and is recent."""
+        """Ask the readers in order; return whether a recent snapshot was applied."""
         for reader in self.readers()[:READERS_TRIED]:
             if reader.name == self._box.name:
                 return False
@@ -264,14 +276,14 @@
             self.newer_state_at = reader.address if has_newer else None
             if not value["listed"]:
                 return False
-            # The reader's age counts back from an answer that came after the question.
+            # Counts from when the request was sent, before the reader computed the age.
             read_at = asked_at - float(value["age_ms"]) / 1000
             record = self._state.leases.record
             if value["record"] is not None:
                 record = record_from_json(value["record"], value["revision"])
             elif record.revision > value["revision"]:
                 record = attrs.evolve(record, revision=value["revision"])
-            # As the reader read it: what came back from a copy renews no lease here either.
+            # As the reader read it: a record restored from a backup renews no lease here either.
             record = attrs.evolve(
                 record,
                 era=int(value.get("era") or 0),
@@ -287,7 +299,7 @@
             self._state.positions.take(value["points"], asked_at)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadRequestError(
-                f"{reader.name} told nonsense: {error!r}; run one version"
+                f"{reader.name} sent a malformed reply: {error!r}; run one version on all boxes"
             ) from None
         self._directory.platform_read_at = max(self._directory.platform_read_at, read_at)
         snapshot = PlatformSnapshot(record, dict(self._boxes))
--- a/wharftiller/daemons/sessions/membership/retirement.py
+++ b/wharftiller/daemons/sessions/membership/retirement.py
@@ -1,9 +1,9 @@
-"""Take boxes that are gone for good out of the list, so that nobody waits for their word.
+"""Remove dead boxes from the list, so that failovers do not wait for them to release leases.
 
-A box that is silent for a while is first marked. If it lives and reaches the
-platform, it finds the mark at its next read and registers anew before that read
-counts for a lease; if it does not reach the platform, its leases end with the age of
-its list. So an entry that has stood marked for `TOMBSTONE_S` stands for no lease.
+An unresponsive box is first tombstoned. If it is alive and reaches the platform, its next
+read shows the tombstone, and it registers again before that read renews a lease. If it does
+not reach the platform, its list of boxes becomes too old to renew leases. So a box whose
+tombstone is older than `TOMBSTONE_S` holds no lease.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 SILENT_S = 5.0
-"""Time after which a box that answers no round is marked, in seconds.
+"""Time after which an unresponsive box is tombstoned, in seconds.
 
-Longer than a restart (1 to 2 s); a box that is only cut off pays one more write.
+Longer than a restart (1 to 2 s); a box that was only cut off registers again.
 """
 
 TOMBSTONE_S = LISTING_S + LEASE_S + 1.0
-"""Time after which a marked entry is removed, in seconds: no lease outlives it."""
+"""Age at which a tombstoned entry is removed, in seconds: its leases have expired."""
 
 
 class BoxRetirement:
-    """Marks silent boxes and removes those that have stood marked."""
+    """Tombstones unresponsive boxes and removes those with old tombstones."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._silent_since: dict[Box, float] = {}
 
     def update(self, boxes: dict[str, Box], now: float) -> None:
-        """Look at the list as read from the platform at ``now`` (seconds)."""
+        """Tombstone or remove boxes of the list read from the platform at ``now`` (seconds)."""
         silent = [box for name, box in boxes.items() if self._is_silent(box, now)]
         self._silent_since = {box: self._silent_since.get(box, now) for box in silent}
         if not self._is_reader():
@@ -70,7 +70,7 @@
         if not self._readers.applies:
             return box.name not in self._directory.replies
         if box.data_centre != self._readers.data_centre:
-            # The reader over there looks after it.
+            # The reader of that data centre is responsible for it.
             return False
         return now - self._snapshot_server.asked_at.get(box.name, -math.inf) > REQUEST_RECENT_S
 
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -1,4 +1,4 @@
-"""Read what boxes share from the platform, register this box there, and follow its feeds."""
+"""Read the state that boxes share from the platform, register this box, and watch for changes."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 REGISTRATION_WAIT_S = 0.6
-"""Time in which all boxes of a first start register, in seconds: they start within 0.3 s."""
+"""Time for all boxes of a first start to register, in seconds; they start within 0.3 s."""
 
 FIRST_REPLY_S = 2.0
-"""Time after its start within which a box hears from its reader, in seconds.
+"""Time after its start within which a box gets its first snapshot from a reader, in seconds.
 
-It asks once a second, and its reader has read the list that holds it within 0.9 s.
+It asks once a second, and its reader lists it within 0.9 s.
 """
 
 WATCHES_WAIT_S = 1.0
-"""Time for the first read of the platform before feeds are followed all the same, in seconds."""
+"""Time to wait for the first read of the platform before watches start anyway, in seconds."""
 
 POLL_S = 0.1
-"""Time between looks at whether to read again, in seconds."""
+"""Time between checks of whether a read is due, in seconds."""
 
 WATCHES_POLL_S = 0.25
-"""Time between looks at whether to follow the feeds, in seconds: a quarter of a round's pause."""
+"""Time between checks of whether to watch the platform, in seconds; 1/4 of `RENEWAL_S`."""
 
 
 class SharedReads:
-    """Own reads of the platform, as often as needed.
+    """Reads the platform as often as this box needs.
 
     Parameters
     ----------
@@ -89,7 +89,7 @@
         return self._directory.is_reading_box
 
     async def run(self) -> None:
-        """Read for ever: often where no other box does it for this one."""
+        """Read whenever a read is due, forever; often if no other box reads for this one."""
         while True:
             started = trio.current_time()
             await self._read()
@@ -110,7 +110,7 @@
         )
 
     async def choose_watches(self) -> None:
-        """Follow configuration and endpoints where no reader tells of them, or not in time."""
+        """Watch configuration and endpoints while no other box sends changes of them in time."""
         await self._peer_sync.seeds_tried.wait()
         while True:
             age_s = trio.current_time() - self._started_at
@@ -119,20 +119,20 @@
             await trio.sleep(WATCHES_POLL_S)
 
     def _should_follow(self) -> bool:
-        """Return whether to follow the platform's changes, as nobody tells this box of them."""
+        """Return whether to watch the platform, as no other box sends its changes."""
         if self._readers.applies and not self._readers.is_asked and not self._platform_answers:
-            # It would not be answered; what others are told, they tell.
+            # The platform would not answer; boxes that it answers send their state.
             return False
         behind_reader = self._readers.applies and not self._readers.is_reader
         return not (behind_reader and self._receives_updates) or self._peer_sync.fetch_failed
 
     @property
     def _receives_updates(self) -> bool:
-        """Whether other boxes tell this one what they read, or are soon to do so.
+        """Whether other boxes send this one what they read, or will soon.
 
-        A box that has just read waits for a reader to list it, unless that is silent, if a
-        neighbour told it what is current, or if the whole deployment starts for the first time.
-        A box that starts beside a cut may hear from one that was parted for long.
+        A box that has just started and read the platform waits for a reader to list it, if a
+        peer sent current state and the reader is responsive, or at a first start of the
+        deployment. State from a peer may be old if that peer is cut off.
         """
         if self._lease_renewer.renewed:
             return True
@@ -152,7 +152,7 @@
         was_unlisted = self._directory.listed_since is None
         self._snapshot_applier.take(snapshot, asked_at)
         if was_unlisted and self._readers.applies:
-            # The reader is asked at once: what it knows is needed before it lists this box.
+            # Ask the reader at once: its state is needed before it lists this box.
             self._state.check_soon.set()
         known_age_s = asked_at - self._directory.platform_read_at
         is_alone = self.reads_for_others or not self._lease_renewer.renewed
@@ -161,18 +161,18 @@
         self._directory.platform_read_at = max(self._directory.platform_read_at, asked_at)
 
     async def _read_registered(self) -> tuple[PlatformSnapshot, float]:
-        """Return a listing that holds this box, and when it was asked for."""
+        """Return a snapshot that lists this box, and when it was requested."""
         if self._has_registered:
             asked_at = trio.current_time()
             snapshot = await self._shared.read()
             if self._snapshot_applier.holds_this_process(snapshot):
                 return snapshot, asked_at
-        # Others' lists may lack this box now: it counts as a newcomer once it is listed.
+        # Other boxes' lists may lack this one: its time in the list starts again.
         self._directory.listed_since = None
         await self._shared.register(self._box)
         self._has_registered = True
         if self._waits_for_others:
-            # All boxes register now: one read later shows them all.
+            # All boxes register now: one later read shows them all.
             self._waits_for_others = False
             await trio.sleep(REGISTRATION_WAIT_S)
         # A lease counts only from a read made after the registration.
--- a/wharftiller/daemons/sessions/membership/snapshots.py
+++ b/wharftiller/daemons/sessions/membership/snapshots.py
@@ -1,4 +1,4 @@
-"""Take in what boxes share through the platform, whoever read it."""
+"""Apply snapshots of the platform, read by this box or by a reader."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class SnapshotApplier:
-    """Brings listings into this box's view of the other boxes and of the leases."""
+    """Applies snapshots to this box's list of boxes and its leases."""
 
     def __init__(
-        self, state: SharedState, directory: BoxDirectory, marks: Tombstones, box: Box
+        self, state: SharedState, directory: BoxDirectory, tombstones: Tombstones, box: Box
     ) -> None:
         self._state = state
         self._directory = directory
-        self._tombstones = marks
+        self._tombstones = tombstones
         self._box = box
 
     def others(self, snapshot: PlatformSnapshot) -> dict[str, Box]:
@@ -28,16 +28,16 @@
         return {name: box for name, box in snapshot.boxes.items() if name != self._box.name}
 
     def holds_this_process(self, snapshot: PlatformSnapshot) -> bool:
-        """Return whether this very process stands in ``snapshot``, and not marked as dead."""
+        """Return whether ``snapshot`` lists this process without a tombstone."""
         return snapshot.boxes.get(self._box.name) == self._box
 
     def take(self, snapshot: PlatformSnapshot, asked_at: float) -> bool:
-        """Take in what was read from the platform, asked for at ``asked_at`` (seconds).
+        """Apply a snapshot that was requested at ``asked_at`` (seconds).
 
         Returns
         -------
         bool
-            Whether this process stands in the list; only then does the read count.
+            Whether it lists this process; only then does the read renew leases.
         """
         others = self.others(snapshot)
         self._directory.replace_list(others)
@@ -49,7 +49,7 @@
         if self._directory.listed_since is None:
             self._directory.listed_since = asked_at
         before = leases.record.revision
-        # First, as it may show that the list came back from a copy and lacks boxes.
+        # The record first: it may show that the list was restored from a backup and lacks boxes.
         leases.read(snapshot.record, asked_at)
         leases.listed(others, asked_at)
         if leases.record.revision != before:
--- a/wharftiller/daemons/sessions/membership/tombstones.py
+++ b/wharftiller/daemons/sessions/membership/tombstones.py
@@ -1,4 +1,4 @@
-"""Which of the boxes marked as dead surely hold no lease any more."""
+"""Determine which tombstoned boxes hold no lease."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @attrs.frozen
 class _Tombstone:
-    """A mark that a box is dead.
+    """A tombstone of a box.
 
     Attributes
     ----------
     revision : int
-        Of the marked entry; another one is another mark.
+        Revision of the tombstoned entry; another revision is another tombstone.
     read_at : float
         When this box first read it, in seconds.
     """
@@ -31,7 +31,7 @@
 
 
 class Tombstones:
-    """The marks that this box has read, and when it last answered each box's rounds."""
+    """The tombstones that this box has read, and when it last answered each box's renewals."""
 
     def __init__(self, directory: BoxDirectory) -> None:
         self._directory = directory
@@ -39,7 +39,7 @@
         self._renewal_answered_at: dict[str, float] = {}
 
     def take(self, tombstones: dict[str, int]) -> None:
-        """Take in which boxes an own read of the platform shows as dead, by entry's revision."""
+        """Replace the tombstones by those of a read of the platform, as revisions by box."""
         now = trio.current_time()
         self._tombstones = {
             name: known
@@ -49,11 +49,11 @@
         }
 
     def record_renewal(self, box: str) -> None:
-        """Note that a round of another box is being answered."""
+        """Record that this box answers a renewal of ``box`` now."""
         self._renewal_answered_at[box] = trio.current_time()
 
     def confirmed_dead(self) -> list[str]:
-        """Return the boxes marked as dead that hold no lease any more."""
+        """Return the tombstoned boxes that hold no lease."""
         now = trio.current_time()
         listed_s = self._directory.listed_s(now)
         return [
--- a/wharftiller/tests/daemons/sessions/test_snapshot_server.py
+++ b/wharftiller/tests/daemons/sessions/test_snapshot_server.py
@@ -1,4 +1,4 @@
-"""What a reader tells the boxes that ask it."""
+"""Snapshots that a reader sends to other boxes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 REQUEST = {"box": "box-1", "incarnation": "1", "revision": 9, "list_revision": 0}
 
 MAX_CHANGE_BYTES = 1_000
-"""Bytes of an answer after one box of 195 started: 23,417 with the whole list, 275 since."""
+"""Maximum size of a reply after one box of 195 restarted; the whole list takes 23 kB."""
 
 
 def box(number: int, incarnation: str = "1") -> Box:
@@ -54,7 +54,7 @@
 
 
 class TestRecord:
-    """A record that came back with a copy must renew no lease of those who hear of it."""
+    """A record restored from a backup must renew no lease of boxes that receive it."""
 
     def test_a_restored_record_is_sent_as_one(self, server: SnapshotServer) -> None:
         from_copy = LeadershipRecord(9, updates=3, is_confirmed=False, era=2)
@@ -70,7 +70,7 @@
     async def _applied(
         self, server: SnapshotServer, read: LeadershipRecord, known: LeadershipRecord
     ) -> LeadershipRecord:
-        """Return what a box that knows ``known`` takes from a reader that read ``read``."""
+        """Return what a box with the record ``known`` applies from a reader that read ``read``."""
         server.store(PlatformSnapshot(read, all_boxes(), read.revision), trio.current_time())
         request = {**REQUEST, "revision": known.revision}
         applied: list[PlatformSnapshot] = []
--- a/wharftiller/tests/platform/test_idle.py
+++ b/wharftiller/tests/platform/test_idle.py
@@ -1,4 +1,4 @@
-"""What boxes of a large deployment do while no caller asks for anything."""
+"""Work that boxes of a large deployment do without callers."""
 
 from __future__ import annotations
 
@@ -14,15 +14,12 @@
 BOXES = 24
 GROUPS = 8
 SCARCE = 20
-"""Connections to an endpoint: fewer than two a box, so that a few homes serve each group."""
+"""Connections to an endpoint: fewer than two per box, so that few gateways serve each group."""
 
 WATCHED_S = 5.0
 
 MAX_STEPS_PER_S = 75
-"""Steps of all tasks for one box in a second, those of the stand-ins for its questions too.
-
-137 before tasks waited for something to watch, 63 since (24 boxes, virtual time).
-"""
+"""Maximum steps of all tasks per box and second of virtual time, stand-ins included."""
 
 
 class Steps(trio.abc.Instrument):
--- a/wharftiller/tests/platform/test_isolation.py
+++ b/wharftiller/tests/platform/test_isolation.py
@@ -1,4 +1,4 @@
-"""A box parted from the rest sends its callers elsewhere, and only such a box."""
+"""Only a box that is cut off from most primaries becomes unready and sheds sessions."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from wharftiller.tests.platform.world import STORE_IP, World, make_group, run_in_world
 
 DETECTION_S = 2.2
-"""Time within which a box without callers notices a cut, in seconds.
+"""Time within which a box without callers detects a cut, in seconds.
 
-A primary that nobody asks is probed after 0.8 s, has 0.6 s to answer, and boxes
-elsewhere have 0.35 s; looks add 0.2 to 0.5 s.
+An idle primary is probed after 0.8 s with a timeout of 0.6 s, boxes elsewhere with one
+of 0.35 s; polls add 0.2 to 0.5 s.
 """
 
 
 def ready_boxes(world: World) -> list[str]:
-    """Return the boxes that tell the balancer that they take sessions."""
+    """Return the boxes that report to the balancer that they are ready."""
     return sorted(name for name, box in world.boxes.items() if box.process.proxy.is_ready)  # type: ignore[union-attr]
 
 
 def cut_off_data_centre(world: World, number: int) -> None:
-    """Part one data centre's box and servers from the others; the store is elsewhere."""
+    """Cut one data centre's box and servers off from the others and from the store."""
     inside = [f"10.1.0.{number + 1}"]
     inside += [group.servers[number].address.partition(":")[0] for group in world.groups]
     outside = [box.ip for box in world.boxes.values() if box.ip not in inside]
@@ -47,7 +47,7 @@
         run_in_world(scenario)
 
     def test_a_data_centre_that_reaches_nobody_stays_isolated_as_long_as_the_cut(self) -> None:
-        """Although no primary stands in one of those that it does not hear."""
+        """Also if one of the unreachable data centres has no primary."""
 
         async def scenario(world: World) -> None:
             cut_off_data_centre(world, 2)
@@ -58,7 +58,7 @@
         run_in_world(scenario)
 
     def test_the_side_of_a_cut_that_has_the_primaries_serves_all(self) -> None:
-        """Also where it is the smaller one: the others send their callers there."""
+        """Also if it is the smaller side."""
 
         async def scenario(world: World) -> None:
             cut_off_data_centre(world, 0)
@@ -71,7 +71,7 @@
         run_in_world(scenario)
 
     def test_isolation_ends_after_a_while_if_the_other_side_stays_silent(self) -> None:
-        """It may be dead: the others are ready again when its primaries are being replaced."""
+        """It may be dead: the others are ready again once its primaries are being replaced."""
 
         async def scenario(world: World) -> None:
             cut_off_data_centre(world, 0)
@@ -127,7 +127,7 @@
         run_in_world(scenario, groups=[led_here, make_group("tours", 3), make_group("guides", 4)])
 
     def test_a_session_opened_on_an_unready_box_is_kept(self) -> None:
-        """No other box takes the session, or it would not be here."""
+        """The balancer found no other box for the session."""
 
         async def scenario(world: World) -> None:
             cut_off_data_centre(world, 2)
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -1,4 +1,4 @@
-"""The platform is away, and many boxes renew their leases and look for it."""
+"""Outages of the platform in a large deployment: lease renewal and number of requests."""
 
 from __future__ import annotations
 
@@ -21,20 +21,19 @@
 
 BOXES = 24
 SCARCE = 20
-"""Connections to an endpoint: a home and a spare in each data centre of eight boxes."""
+"""Connections to an endpoint: one gateway and one spare per data centre of eight boxes."""
 
 OUTAGE_S = 9.0
 
 MAX_REQUESTS_PER_S = 8.0
-"""Questions to other boxes for each box and second: 18.6 with a round of every box in every
-second, 5.8 since (one group, virtual time)."""
+"""Maximum requests to other boxes per box and second of virtual time."""
 
 MAX_CALLS = 260
-"""Calls to the platform in the outage: 327 before boxes that nobody asks held back, 219 since."""
+"""Maximum calls to the platform during the outage."""
 
 
 def gateways(world: World, data_centre: str) -> list[BoxProcess]:
-    """Return the boxes of a data centre that run the group's statements."""
+    """Return the boxes of a data centre that serve the group ``seats``."""
     states = {box.name: box.process.proxy.state for box in world.boxes.values()}  # type: ignore[union-attr]
     return [
         box
@@ -83,9 +82,9 @@
 
         run_in_world(scenario, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
 
-    @pytest.mark.parametrize("caller_at", ["the home", "another box"])
+    @pytest.mark.parametrize("caller_at", ["the gateway", "another box"])
     def test_a_restarted_gateway_leaves_writes_to_those_with_leases(self, caller_at: str) -> None:
-        """It has no lease before the platform is back; the others renew theirs in rounds."""
+        """It gets no lease before the platform is back; the others renew theirs."""
 
         async def scenario(world: World) -> None:
             await trio.sleep(5)
@@ -99,7 +98,7 @@
             await world.kill_box(gateway)
             gateway = await world.start_box(int(gateway.name.removeprefix("box-")))
             await trio.sleep(AVOIDED_S + 1.0)
-            caller = await world.call(gateway if caller_at == "the home" else other, "primary")
+            caller = await world.call(gateway if caller_at == "the gateway" else other, "primary")
             started = trio.current_time()
             for number in range(10):
                 assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
--- a/wharftiller/tests/platform/test_readers.py
+++ b/wharftiller/tests/platform/test_readers.py
@@ -1,4 +1,4 @@
-"""Large deployments: one box a data centre reads the platform for the others."""
+"""Large deployments: one box per data centre reads the platform for the others."""
 
 from __future__ import annotations
 
@@ -20,18 +20,17 @@
 BOXES = 9
 
 MAX_LISTS = 6
-"""Lists read beside changes that the watches tell: 11 before each told revision was accounted
-for, 6 since, two of each box that begins to follow (virtual time)."""
+"""Maximum listings besides changes received by watches: two per box that starts to watch."""
 
 
 @pytest.fixture(autouse=True)
 def _large(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Take a deployment of nine boxes for a large one."""
+    """Use readers in a deployment of nine boxes."""
     monkeypatch.setattr(readers, "MANY_BOXES", 4)
 
 
 def reader_names(world: World) -> list[str]:
-    """Return the boxes that read for others."""
+    """Return the names of the boxes that read for others."""
     return [
         box.name
         for box in world.boxes.values()
@@ -54,7 +53,7 @@
         run_in_world(scenario, boxes=BOXES)
 
     def test_entries_are_listed_after_changes_only(self) -> None:
-        """In 20 s three readers made 75 reads of ten objects each before."""
+        """Without changes a read must not list every entry again."""
 
         async def scenario(world: World) -> None:
             await trio.sleep(10)
@@ -73,7 +72,7 @@
         async def scenario(world: World) -> None:
             callers = [await world.call(box, "primary") for box in world.boxes.values()]
             world.store.mode = StoreMode.AWAY
-            # Rounds take the list of boxes for 12 s; outages of 4 to 9 s were seen.
+            # Boxes renew leases through each other while their list is younger than 12 s.
             until = trio.current_time() + 10
             while trio.current_time() < until:
                 for caller in callers:
@@ -110,7 +109,7 @@
     def test_a_platform_read_replaces_a_failed_fetch(
         self, delay_s: float, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A reader on a slow link: its boxes go on renewing their leases through it meanwhile."""
+        """A reader on a slow link: boxes keep renewing their leases through it."""
         handle = BoxServer.handle
 
         async def slow(server: BoxServer, request: HttpRequest) -> HttpResponse:
@@ -132,24 +131,24 @@
         run_in_world(scenario, boxes=BOXES)
 
     def test_state_that_the_peer_has_is_not_sent(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A change of endpoints does not carry the configuration, however large, to each box."""
-        told: list[dict[str, Any]] = []
+        """A change of endpoints must not send the configuration to every box."""
+        replies: list[dict[str, Any]] = []
         known = PeerSync.known
 
         def recording(peer_sync: PeerSync, request: Any) -> dict[str, Any]:
-            told.append(known(peer_sync, request))
-            return told[-1]
+            replies.append(known(peer_sync, request))
+            return replies[-1]
 
         async def scenario(world: World) -> None:
             await trio.sleep(5)
-            told.clear()
+            replies.clear()
             leaving = world.groups[0].servers[2]
             leaving.leaving = True
             world.register(leaving)
             await trio.sleep(3)
-            assert told
-            assert all(each["configuration"] is None for each in told)
-            assert any(each["endpoints"] is not None for each in told)
+            assert replies
+            assert all(each["configuration"] is None for each in replies)
+            assert any(each["endpoints"] is not None for each in replies)
             for box in world.boxes.values():
                 assert box.process.proxy is not None
                 row = box.process.proxy.state.endpoints.rows[leaving.name]
@@ -161,7 +160,7 @@
     def test_changes_received_by_watch_cause_no_listing(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Configurations in quick succession, while a box stops and another starts."""
+        """Many configurations in quick succession, while a box stops and another starts."""
         list_all, listed = ObjectStore.list_all, []
 
         async def recording(store: ObjectStore, kind: str, *args: Any, **kwargs: Any) -> Any:
--- a/wharftiller/tests/platform/test_starts.py
+++ b/wharftiller/tests/platform/test_starts.py
@@ -1,4 +1,4 @@
-"""Boxes that start: one of many, many at once, all of them again."""
+"""Starts of boxes: one of many, many at once, and a restart of all."""
 
 from __future__ import annotations
 
@@ -15,21 +15,13 @@
 BOXES = 24
 
 MAX_REQUESTS_PER_BOX = 6
-"""Questions and words to other boxes for each of 24 that start within a second, and 3 s more.
-
-176 before what a box reads first stopped being told as news, 3 since (virtual time).
-"""
+"""Maximum requests to other boxes per box, for 24 boxes in their first seconds."""
 
 MAX_CALLS = 5
-"""Calls to the platform for one box that starts, those of readers that look after it too.
-
-18 before neighbours told it and readers accounted for its entry; 5 since, two of its own and
-one of each of three readers, which list the entries again (virtual time).
-"""
-
+"""Maximum calls to the platform for one box that starts: two of its own, one of each reader."""
 
 NO_READER = 12
-"""Number of a tenth box that does not become the reader of its data centre."""
+"""Number of a tenth box that does not become its data centre's reader."""
 
 READER = "box-4"
 """The reader of that data centre."""
@@ -50,7 +42,7 @@
         run_in_world(scenario, boxes=BOXES)
 
     def test_the_log_does_not_grow_with_the_square_of_the_boxes(self) -> None:
-        """A line for each list that changes, not one for each box on it: 23 lines a box before."""
+        """A change of the list is logged in one line, not in one per box."""
 
         async def scenario(world: World) -> None:
             for box in world.boxes.values():
@@ -84,7 +76,7 @@
     def test_it_ignores_seeds_cut_off_from_the_platform(
         self, reader_answers: bool, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The seeds still have a configuration that was replaced long ago."""
+        """The seeds still have an old configuration."""
         monkeypatch.setattr(readers, "MANY_BOXES", 4)
 
         async def scenario(world: World) -> None:
@@ -109,7 +101,7 @@
 class TestAllAgain:
     @pytest.mark.parametrize("boxes", [3, 24])
     def test_writes_are_taken_within_a_second(self, boxes: int) -> None:
-        """All processes are killed; nobody is left who knows anything."""
+        """All processes were killed, so no box has any state."""
 
         async def scenario(world: World) -> None:
             await trio.sleep(5)
