--- a/wharftiller/daemons/sessions/membership/snapshots.py
+++ b/wharftiller/daemons/sessions/membership/snapshots.py
@@ -41,7 +41,7 @@
         """
         others = self.others(snapshot)
         self._directory.replace_list(others)
-        self._tombstones.take(snapshot.marks)
+        self._tombstones.replace(snapshot.marks)
         if not self.holds_this_process(snapshot):
             self._directory.listed_since = None
             return False
--- a/wharftiller/daemons/sessions/membership/tombstones.py
+++ b/wharftiller/daemons/sessions/membership/tombstones.py
@@ -38,7 +38,7 @@
         self._tombstones: dict[str, _Tombstone] = {}
         self._renewal_answered_at: dict[str, float] = {}
 
-    def take(self, tombstones: dict[str, int]) -> None:
+    def replace(self, tombstones: dict[str, int]) -> None:
         """Replace the tombstones by those of a read of the platform, as revisions by box."""
         now = trio.current_time()
         self._tombstones = {
--- a/wharftiller/tests/platform/test_idle.py
+++ b/wharftiller/tests/platform/test_idle.py
@@ -16,7 +16,8 @@
 SCARCE = 20
 """Connections to an endpoint: fewer than two per box, so that few gateways serve each group."""
 
-WATCHED_S = 5.0
+MEASURED_S = 5.0
+"""Length of the measured period, and of the warm-up before it, in seconds."""
 
 MAX_STEPS_PER_S = 75
 """Maximum steps of all tasks per box and second of virtual time, stand-ins included."""
@@ -40,12 +41,12 @@
 class TestIdleBoxes:
     def test_tasks_seldom_run(self) -> None:
         async def scenario(world: World) -> None:
-            await trio.sleep(WATCHED_S)
+            await trio.sleep(MEASURED_S)
             steps = Steps()
             trio.lowlevel.add_instrument(steps)
-            await trio.sleep(WATCHED_S)
+            await trio.sleep(MEASURED_S)
             trio.lowlevel.remove_instrument(steps)
-            assert steps.count / BOXES / WATCHED_S < MAX_STEPS_PER_S
+            assert steps.count / BOXES / MEASURED_S < MAX_STEPS_PER_S
 
         run_large(scenario)
 
@@ -57,11 +58,11 @@
             return plan_gateways(max_connections, boxes, data_centres)
 
         async def scenario(world: World) -> None:
-            await trio.sleep(WATCHED_S)
+            await trio.sleep(MEASURED_S)
             monkeypatch.setattr(
                 "wharftiller.daemons.sessions.forwarding.gateways.plan_gateways", counting
             )
-            await trio.sleep(WATCHED_S)
+            await trio.sleep(MEASURED_S)
             assert not calls
 
         run_large(scenario)
@@ -74,9 +75,9 @@
             return 0
 
         async def scenario(world: World) -> None:
-            await trio.sleep(WATCHED_S)
+            await trio.sleep(MEASURED_S)
             monkeypatch.setattr(FailoverMonitor, "_turn", counting)
-            await trio.sleep(WATCHED_S)
+            await trio.sleep(MEASURED_S)
             assert not ranks
 
         run_large(scenario)
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -24,6 +24,7 @@
 """Connections to an endpoint: one gateway and one spare per data centre of eight boxes."""
 
 OUTAGE_S = 9.0
+"""Length of the outage of the platform, in seconds."""
 
 MAX_REQUESTS_PER_S = 8.0
 """Maximum requests to other boxes per box and second of virtual time."""
--- a/wharftiller/tests/platform/test_starts.py
+++ b/wharftiller/tests/platform/test_starts.py
@@ -98,7 +98,7 @@
         run_in_world(scenario, boxes=9)
 
 
-class TestAllAgain:
+class TestRestartOfAll:
     @pytest.mark.parametrize("boxes", [3, 24])
     def test_writes_are_taken_within_a_second(self, boxes: int) -> None:
         """All processes were killed, so no box has any state."""
