--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -1,4 +1,4 @@
-"""Answer what other boxes ask: rounds, words to stop, the record, what this box knows."""
+"""Handle requests of other boxes: lease renewal and release, the record, this box's state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    Answer = Callable[[Any], Awaitable[dict[str, Any]]]
+    Handler = Callable[[Any], Awaitable[dict[str, Any]]]
 
     from wharftiller.core.leadership.record import LeadershipRecord
     from wharftiller.daemons.sessions.allowances.token_server import TokenServer
@@ -27,116 +27,121 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 QUIET_WAIT_S = 1.0
-"""Time for which writes under way may end before a planned change, in seconds."""
-
-START_S = 2.0
-"""Time for a box to start, in seconds: one that stops is passed over for its grace and this."""
+"""Time that in-flight writes get to end before a planned failover, in seconds."""
 
+BOX_START_S = 2.0
+"""Time for a box to start, in seconds; a stopping box is avoided for its grace period and this."""
 
 STATE_PATH = "/peer/known"
-"""Where boxes ask what this one knows; answers may be large and are compressed."""
+"""Path of the request for this box's state; replies may be large and are compressed."""
 
 
-def _at_once(answer: Callable[[Any], dict[str, Any]]) -> Answer:
-    """Return an answer that waits for nothing in the form of those that may."""
+def _as_async(handler: Callable[[Any], dict[str, Any]]) -> Handler:
+    """Wrap a synchronous handler as an asynchronous one."""
 
-    async def told(question: Any) -> dict[str, Any]:
-        return answer(question)
+    async def handler_async(request: Any) -> dict[str, Any]:
+        return handler(request)
 
-    return told
+    return handler_async
 
 
 class BoxServer:
-    """Answers other boxes' questions.
+    """Handles other boxes' requests.
 
     Parameters
     ----------
-    known : callable
-        Returns what a box that tells what it knows may learn from this one, as JSON.
-    check : callable
-        Asks endpoints, named in a list, that were not heard lately.
+    state_json : callable
+        Returns the part of this box's state that the requesting box lacks, as JSON.
+    check_endpoints : callable
+        Probes those of the named endpoints that had no recent contact.
     grace_s : float
-        Time between a box being told to stop and being killed, in seconds.
+        Time between a box's stop signal and its kill, in seconds.
     """
 
     def __init__(
         self,
         state: SharedState,
         directory: BoxDirectory,
-        marks: Tombstones,
-        desk: SnapshotServer,
-        known: Callable[[Any], dict[str, Any]],
-        check: Callable[[list[str]], Awaitable[None]],
-        desk_for_others: ForwardedExecutor,
-        keeper_desk: TokenServer,
-        links: GatewayClient,
+        tombstones: Tombstones,
+        snapshot_server: SnapshotServer,
+        state_json: Callable[[Any], dict[str, Any]],
+        check_endpoints: Callable[[list[str]], Awaitable[None]],
+        forwarded_executor: ForwardedExecutor,
+        token_server: TokenServer,
+        gateway_client: GatewayClient,
         grace_s: float,
     ) -> None:
         self._state = state
         self._directory = directory
-        self._marks = marks
-        self._check = check
-        self._links = links
+        self._tombstones = tombstones
+        self._check_endpoints = check_endpoints
+        self._gateway_client = gateway_client
         self._grace_s = grace_s
-        self._answers = {
-            ("POST", "/peer/round"): self._round,
-            ("POST", "/peer/read"): _at_once(desk.answer),
-            ("POST", "/peer/stop"): self._stop,
-            ("POST", "/peer/record"): _at_once(self._adopt),
-            ("POST", "/peer/news"): _at_once(self._look),
-            ("POST", "/peer/alive"): _at_once(lambda _: {}),
-            ("POST", "/peer/run"): desk_for_others.run,
-            ("POST", "/peer/end"): _at_once(desk_for_others.end),
-            ("POST", TOKENS_PATH): keeper_desk.handle_token_request,
-            ("POST", LOAN_PATH): _at_once(keeper_desk.handle_loan_request),
-            ("POST", "/peer/leaving"): self._leaving,
-            ("POST", STATE_PATH): _at_once(known),
+        self._handlers = {
+            ("POST", "/peer/round"): self._handle_renewal,
+            ("POST", "/peer/read"): _as_async(snapshot_server.handle_read),
+            ("POST", "/peer/stop"): self._handle_release_request,
+            ("POST", "/peer/record"): _as_async(self._adopt_record),
+            ("POST", "/peer/news"): _as_async(self._handle_change),
+            ("POST", "/peer/alive"): _as_async(lambda _: {}),
+            ("POST", "/peer/run"): forwarded_executor.run,
+            ("POST", "/peer/end"): _as_async(forwarded_executor.end),
+            ("POST", TOKENS_PATH): token_server.handle_token_request,
+            ("POST", LOAN_PATH): _as_async(token_server.handle_loan_request),
+            ("POST", "/peer/leaving"): self._handle_leaving,
+            ("POST", STATE_PATH): _as_async(state_json),
         }
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one question."""
-        answer = self._answers.get((request.method, request.path))
-        if answer is None:
-            raise UnknownPathError(f"no {request.method} {request.path}; boxes ask under /peer/")
+        """Handle one request."""
+        handler = self._handlers.get((request.method, request.path))
+        if handler is None:
+            raise UnknownPathError(
+                f"no handler for {request.method} {request.path}; expected a request under /peer/"
+            )
         compressed = request.path == STATE_PATH
-        return HttpResponse(200, await answer(request.json()), compressed=compressed)
+        return HttpResponse(200, await handler(request.json()), compressed=compressed)
 
-    async def _round(self, question: Any) -> dict[str, Any]:
-        if not isinstance(question, dict) or not isinstance(question.get("revision"), int):
-            raise BadRequestError("a round's question names its revision; run one version")
+    async def _handle_renewal(self, request: Any) -> dict[str, Any]:
+        if not isinstance(request, dict) or not isinstance(request.get("revision"), int):
+            raise BadRequestError(
+                "lease renewal without an integer 'revision'; run one version on all boxes"
+            )
         state = self._state
-        self._marks.note_answered(str(question.get("box")))
-        check = question.get("check") or ()
-        if isinstance(check, list) and check:
-            await self._check([str(each) for each in check])
+        self._tombstones.record_renewal(str(request.get("box")))
+        endpoints = request.get("check") or ()
+        if isinstance(endpoints, list) and endpoints:
+            await self._check_endpoints([str(each) for each in endpoints])
         record = state.leases.record
-        newer = record.revision > question["revision"]
+        is_newer = record.revision > request["revision"]
         return {
             "incarnation": self._directory.incarnation,
             "platform": self._directory.platform_answers,
             "read_age_ms": self._directory.read_age_ms(),
             "read": state.leases.read_from_platform,
             "revision": record.revision,
-            "record": record_to_json(record) if newer else None,
+            "record": record_to_json(record) if is_newer else None,
             "knows": state.knowledge.to_json(),
             "points": state.positions.told(),
-            "hears": self._heard(),
+            "hears": self._reachable_primaries(),
         }
 
-    def _look(self, _: Any) -> dict[str, Any]:
-        """Look for a newer configuration or list of endpoints."""
+    def _handle_change(self, _: Any) -> dict[str, Any]:
+        """Check for a newer configuration or list of endpoints."""
         self._state.check_soon.set()
         return {}
 
-    async def _leaving(self, value: Any) -> dict[str, Any]:
-        """Pass nothing new to a box that is stopping."""
+    async def _handle_leaving(self, value: Any) -> dict[str, Any]:
+        """Forward nothing new to a box that is stopping."""
         if not isinstance(value, dict) or not isinstance(value.get("box"), str):
-            raise BadRequestError("a leaving box names itself; run one version")
-        await self._links.leave(value["box"], self._grace_s + START_S)
+            raise BadRequestError(
+                "leaving notification without a 'box' name; run one version on all boxes"
+            )
+        await self._gateway_client.leave(value["box"], self._grace_s + BOX_START_S)
         return {}
 
-    def _heard(self) -> list[str]:
-        """Return the primaries that answered lately, and not through another box."""
+    def _reachable_primaries(self) -> list[str]:
+        """Return the primaries with recent direct contact, not through a relay."""
         now = trio.current_time()
         leads = [self._state.lead(group) for group in self._state.leases.record.groups]
         rows = [
@@ -150,21 +155,23 @@
             and self._state.endpoints.relay_for(row) is None
         ]
 
-    def _adopt(self, value: Any) -> dict[str, Any]:
-        """Take in a record if it is newer."""
+    def _adopt_record(self, value: Any) -> dict[str, Any]:
+        """Adopt a record if it is newer."""
         try:
             record = record_from_json(value["record"], value["revision"])
         except (KeyError, TypeError) as error:
-            raise BadRequestError(f"no record was told: {error!r}; run one version") from None
+            raise BadRequestError(
+                f"no valid record: {error!r}; run one version on all boxes"
+            ) from None
         if self._state.leases.adopt(record):
             self._state.log.change("record_adopted", revision=record.revision, source="box")
             self._state.check_soon.set()
             self._state.wake()
         return {}
 
-    async def _stop(self, value: Any) -> dict[str, Any]:
-        """Stop using the primaries being replaced."""
-        self._adopt(value)
+    async def _handle_release_request(self, value: Any) -> dict[str, Any]:
+        """Release the leases on the primaries being replaced."""
+        self._adopt_record(value)
         record = self._state.leases.record
         if record.revision < value["revision"] or not record.moving:
             return {"stopped": False}
@@ -173,19 +180,19 @@
         return {"stopped": True, "listed_ms": int(listed_s * 1000)}
 
     async def stop_using(self, record: LeadershipRecord) -> None:
-        """Stop using the primaries being replaced, where planned once writes have ended."""
+        """Release the leases on primaries being replaced; if planned, once writes have ended."""
         leases = self._state.leases
         for group, moving in record.moving.items():
             leases.close(group, moving.old.endpoint)
         for group, moving in record.moving.items():
             if moving.planned:
-                await self._quiet(group)
+                await self._wait_for_writes(group)
             self._state.leases.release_lease(group, moving.old.endpoint)
         self._state.log.change("word_given", groups=sorted(record.moving))
         self._state.wake()
 
-    async def _quiet(self, group: str) -> None:
-        """Wait until this box's writes in ``group`` have ended, for some time at most."""
+    async def _wait_for_writes(self, group: str) -> None:
+        """Wait until this box's writes in ``group`` have ended, for `QUIET_WAIT_S` at most."""
         with trio.move_on_after(QUIET_WAIT_S):
             while not self._state.work.is_quiet(group):
                 await self._state.leadership_changed()
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Watch whether this box is parted from most primaries, and carry out what that decides."""
+"""Detect whether this box is cut off from most primaries, and shed sessions if it is."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 POLL_S = 0.1
-"""Time between looks at whether the groups can be served, in seconds."""
+"""Time between checks of whether the groups can be served, in seconds."""
 
-ASKED_ELSEWHERE = 2
-"""Boxes of another data centre asked before it counts as silent."""
+MAX_PROBED_BOXES = 2
+"""Boxes probed in another data centre; it is unresponsive if none answers."""
 
-ASK_TIMEOUT_S = 0.25
-"""Time a box elsewhere has to answer, in seconds: one lost packet is sent again after 0.2 s."""
+PROBE_TIMEOUT_S = 0.25
+"""Timeout of such a probe, in seconds; allows one retransmission, sent after 0.2 s."""
 
 
 class IsolationWatch:
-    """Watches whether this box is parted from most primaries and the boxes beside them."""
+    """Detects whether this box is cut off from most primaries and the boxes near them."""
 
     def __init__(
         self, state: SharedState, directory: BoxDirectory, sessions: SessionServer
@@ -39,46 +39,46 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether new sessions are better served elsewhere."""
+        """Whether new sessions should go to another data centre."""
         return self._isolation.since is not None
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Check periodically, forever."""
         while True:
             await trio.sleep(POLL_S)
-            await self._look()
-
-    async def _look(self) -> None:
-        view = self._view()
-        asked = self._isolation.centres_to_ask(view)
-        if asked:
-            silent = await self._silent_among(asked)
-            view = attrs.evolve(self._view(), silent=silent)
-        told = {"unusable": sorted(view.unusable)}
-        match self._isolation.decide(view):
+            await self._check()
+
+    async def _check(self) -> None:
+        inputs = self._inputs()
+        to_probe = self._isolation.centres_to_ask(inputs)
+        if to_probe:
+            silent = await self._silent_among(to_probe)
+            inputs = attrs.evolve(self._inputs(), silent=silent)
+        fields = {"unusable": sorted(inputs.unusable)}
+        match self._isolation.decide(inputs):
             case Begin(silent):
-                self._state.log.change("isolated", silent=sorted(silent), **told)
+                self._state.log.change("isolated", silent=sorted(silent), **fields)
             case End():
-                self._state.log.change("isolation_ended", silent=sorted(silent), **told)
+                self._state.log.change("isolation_ended", silent=sorted(silent), **fields)
             case ShedSessions(groups):
-                sent = self._sessions.send_away(groups)
-                self._state.log.change("sessions_sent_away", sessions=sent, **told)
+                closed = self._sessions.send_away(groups)
+                self._state.log.change("sessions_sent_away", sessions=closed, **fields)
 
-    def _view(self) -> IsolationInputs:
+    def _inputs(self) -> IsolationInputs:
         unusable = self._unusable()
         return IsolationInputs(
             now=trio.current_time(),
             groups=len(self._state.leases.record.groups),
             unusable=unusable,
-            away=self._away(unusable),
+            away=self._primary_centres(unusable),
             elsewhere=frozenset(self._directory.list.elsewhere),
         )
 
     def _unusable(self) -> frozenset[str]:
         """Return the groups to whose primary this box cannot send a statement now.
 
-        A way through another box counts only once the primary was heard on it: such ways
-        are chosen by what other boxes told before the cut.
+        A relay counts only after contact with the primary through it: relays are chosen
+        from replies that other boxes sent before the cut.
         """
         now = trio.current_time()
         unusable = set()
@@ -92,8 +92,8 @@
                 unusable.add(group)
         return frozenset(unusable)
 
-    def _away(self, unusable: frozenset[str]) -> dict[str, str]:
-        """Return the other data centres where ``unusable`` primaries stand, by group."""
+    def _primary_centres(self, unusable: frozenset[str]) -> dict[str, str]:
+        """Return the data centre of each ``unusable`` primary outside this one, by group."""
         centres = {}
         for group in unusable:
             row = self._state.endpoints.rows.get(self._state.lead(group) or "")
@@ -102,16 +102,16 @@
         return centres
 
     async def _silent_among(self, centres: frozenset[str]) -> frozenset[str]:
-        """Return those of ``centres`` that have boxes, none of which answers."""
+        """Return those of ``centres`` whose probed boxes all fail to answer."""
         elsewhere = self._directory.list.elsewhere
-        answering: set[str] = set()
+        responding: set[str] = set()
 
-        async def ask(box: Box) -> None:
-            if await self._directory.is_alive(box, ASK_TIMEOUT_S):
-                answering.add(box.data_centre)
+        async def probe(box: Box) -> None:
+            if await self._directory.is_alive(box, PROBE_TIMEOUT_S):
+                responding.add(box.data_centre)
 
         async with trio.open_nursery() as nursery:
             for centre in centres & elsewhere.keys():
-                for name in ranked(self._state.box, elsewhere[centre])[:ASKED_ELSEWHERE]:
-                    nursery.start_soon(ask, self._directory.boxes[name])
-        return frozenset(centres & elsewhere.keys()) - answering
+                for name in ranked(self._state.box, elsewhere[centre])[:MAX_PROBED_BOXES]:
+                    nursery.start_soon(probe, self._directory.boxes[name])
+        return frozenset(centres & elsewhere.keys()) - responding
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -1,10 +1,10 @@
-"""Large deployments: one box a data centre reads the platform for the others in it.
+"""Readers: in large deployments one box per data centre reads the platform for the others.
 
-Where a deployment has few boxes each asks every other once a second. That grows with
-the square of their number, so from `MANY_BOXES` on each asks only a reader, which
-tells what it read from the platform and when. A read proves the same whoever makes
-it, if the asking box was already listed in it; so a lease renewed by a reader is as
-good as one renewed by an own read. Rounds of all boxes remain for outages.
+In a small deployment each box asks every other once a second. The cost grows with the
+square of the number of boxes, so from `MANY_BOXES` on each box asks only a reader, which
+returns its newest snapshot of the platform and the snapshot's age. A snapshot that lists the
+requesting box renews its leases as a read of its own does. Boxes ask all others only while
+the platform is unavailable.
 """
 
 from __future__ import annotations
@@ -29,50 +29,54 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 MANY_BOXES = 16
-"""Other boxes from which readers take the place of rounds.
-
-What rounds cost the deployment grows with the square of the number.
-"""
+"""Number of other boxes from which readers are used instead of renewals by all boxes."""
 
 READERS_TRIED = 4
-"""Readers asked in turn before a box reads the platform itself.
+"""Readers tried in order before a box reads the platform itself.
 
-Where the platform turns a third of the boxes away, all four are among them in one data centre
-of eighty by chance; with two, in one of nine all of its boxes would read.
+If the platform rejects a third of the boxes, all four fail in one data centre of eighty.
 """
 
 READ_FRESH_S = 2.5
-"""Age beyond which a reader's read is not worth taking, in seconds: three of its pauses."""
+"""Age beyond which a reader's snapshot is stale, in seconds: three intervals of its reads."""
 
 LISTS_KEPT = 16
-"""Lists of boxes from which a reader tells changes only; an older one is told whole.
+"""Recent lists of boxes for which a reader sends only changes; for older ones it sends all.
 
 Boxes ask once a second, and lists are read every 0.8 s.
 """
 
-ASKED_LATELY_S = 5.0
-"""A box that has not asked its reader for so long counts as silent, in seconds."""
+REQUEST_RECENT_S = 5.0
+"""A box that has not asked its reader within this time counts as unresponsive, in seconds."""
 
 
 @attrs.define
 class LastRead:
-    """The newest read of the platform that this box made itself."""
+    """The newest snapshot that this box read from the platform itself.
+
+    Attributes
+    ----------
+    asked_at : float
+        When the read was sent, in seconds.
+    list_revision : int
+        Revision at which its list of boxes was first read.
+    """
 
-    listing: PlatformSnapshot | None = None
+    snapshot: PlatformSnapshot | None = None
     asked_at: float = 0.0
     list_revision: int = 0
 
 
 @attrs.frozen
 class ListChange:
-    """How the list of boxes came about from an older one.
+    """The difference between two lists of boxes.
 
     Attributes
     ----------
     boxes : list of dict
         The entries that are new or changed, as JSON.
     gone : list of str
-        Names that are in the list no more.
+        Names that were removed.
     """
 
     boxes: list[dict[str, str]]
@@ -80,13 +84,19 @@
 
     @classmethod
     def between(cls, old: dict[str, Box], new: dict[str, Box]) -> ListChange:
-        """Return what leads from ``old`` to ``new``."""
+        """Return the change from ``old`` to ``new``."""
         changed = [attrs.asdict(box) for name, box in new.items() if old.get(name) != box]
         return cls(changed, sorted(old.keys() - new.keys()))
 
 
 class SnapshotServer:
-    """Answers boxes that ask this one for its reads."""
+    """Serves this box's snapshots of the platform to other boxes.
+
+    Attributes
+    ----------
+    asked_at : dict of str to float
+        When each box last asked, in seconds.
+    """
 
     def __init__(self, state: SharedState, incarnation: str) -> None:
         self._state = state
@@ -96,44 +106,46 @@
         self._changes: dict[int, ListChange] = {}
         self.asked_at: dict[str, float] = {}
 
-    def note(self, listing: PlatformSnapshot, asked_at: float) -> None:
-        """Keep a read that this box made."""
-        known = self._last.listing
-        if known is None or known.boxes != listing.boxes:
-            self._last.list_revision = listing.revision
-            self._lists[listing.revision] = listing.boxes
+    def store(self, snapshot: PlatformSnapshot, asked_at: float) -> None:
+        """Store a snapshot that this box read, requested at ``asked_at`` (seconds)."""
+        known = self._last.snapshot
+        if known is None or known.boxes != snapshot.boxes:
+            self._last.list_revision = snapshot.revision
+            self._lists[snapshot.revision] = snapshot.boxes
             while len(self._lists) > LISTS_KEPT:
                 del self._lists[min(self._lists)]
             self._changes.clear()
-        self._last.listing = listing
+        self._last.snapshot = snapshot
         self._last.asked_at = asked_at
 
-    def answer(self, question: Any) -> dict[str, Any]:
-        """Return what was read last, as far as the asking box does not know it.
+    def handle_read(self, request: Any) -> dict[str, Any]:
+        """Return the parts of the newest snapshot that the requesting box lacks.
 
         Raises
         ------
         BadRequestError
-            If the question is none.
+            If the request is malformed.
         """
         try:
-            name, incarnation = str(question["box"]), str(question["incarnation"])
-            revision, list_revision = int(question["revision"]), int(question["list_revision"])
+            name, incarnation = str(request["box"]), str(request["incarnation"])
+            revision, list_revision = int(request["revision"]), int(request["list_revision"])
         except (KeyError, TypeError, ValueError) as error:
-            raise BadRequestError(f"no question to a reader: {error!r}; run one version") from None
+            raise BadRequestError(
+                f"malformed request to a reader: {error!r}; run one version on all boxes"
+            ) from None
         now = trio.current_time()
         self.asked_at[name] = now
-        listing = self._last.listing
-        if listing is None:
+        snapshot = self._last.snapshot
+        if snapshot is None:
             return {"read": False}
-        listed = listing.boxes.get(name)
-        told: dict[str, Any] = {
+        listed = snapshot.boxes.get(name)
+        reply: dict[str, Any] = {
             "read": True,
             "age_ms": int((now - self._last.asked_at) * 1000) + 1,
             "listed": listed is not None and listed.incarnation == incarnation,
-            "revision": listing.record.revision,
-            "era": listing.record.era,
-            "confirmed": listing.record.is_confirmed,
+            "revision": snapshot.record.revision,
+            "era": snapshot.record.era,
+            "confirmed": snapshot.record.is_confirmed,
             "record": None,
             "list_revision": self._last.list_revision,
             "boxes": None,
@@ -142,19 +154,19 @@
             "knows": self._state.knowledge.to_json(),
             "points": self._state.positions.told(),
         }
-        if listing.record.revision > revision:
-            told["record"] = record_to_json(listing.record)
+        if snapshot.record.revision > revision:
+            reply["record"] = record_to_json(snapshot.record)
         if self._last.list_revision != list_revision:
-            change = self._change_since(list_revision, listing.boxes)
-            told["boxes"] = change.boxes
-            told["gone"] = change.gone
-            told["whole"] = list_revision not in self._lists
-        return told
+            change = self._change_since(list_revision, snapshot.boxes)
+            reply["boxes"] = change.boxes
+            reply["gone"] = change.gone
+            reply["whole"] = list_revision not in self._lists
+        return reply
 
     def _change_since(self, list_revision: int, boxes: dict[str, Box]) -> ListChange:
-        """Return what leads from the list of a revision, empty if unknown, to ``boxes``.
+        """Return the change from the list of a revision, empty if unknown, to ``boxes``.
 
-        While boxes start and stop, 38 others ask one reader for each new list of 195.
+        Cached, because many boxes ask for the same change.
         """
         change = self._changes.get(list_revision)
         if change is None:
@@ -164,19 +176,19 @@
 
 
 class SnapshotClient:
-    """Asks readers for what they read.
+    """Requests snapshots of the platform from readers.
 
     Attributes
     ----------
-    newer_at : str or None
-        Address of a reader that knows more than this box.
+    newer_state_at : str or None
+        Address of a reader with newer state than this box.
     is_silent : bool
-        Whether the last one asked did not answer, or had read nothing lately.
+        Whether the last reader asked did not answer or had no recent snapshot.
 
     Parameters
     ----------
-    take : callable
-        Takes a listing and when it was asked for; returns whether this box is in it.
+    apply : callable
+        Applies a snapshot, given when it was requested; returns whether it lists this box.
     """
 
     def __init__(
@@ -184,20 +196,20 @@
         state: SharedState,
         directory: BoxDirectory,
         box: Box,
-        take: Callable[[PlatformSnapshot, float], bool],
+        apply: Callable[[PlatformSnapshot, float], bool],
     ) -> None:
         self._state = state
         self._directory = directory
         self._box = box
-        self._take = take
+        self._apply = apply
         self._list_revision = 0
         self._boxes: dict[str, Box] = {}
-        self.newer_at: str | None = None
+        self.newer_state_at: str | None = None
         self.is_silent = False
 
     @property
     def data_centre(self) -> str:
-        """Where this box stands."""
+        """The data centre of this box."""
         return self._box.data_centre
 
     @property
@@ -206,7 +218,7 @@
         return len(self._directory.boxes) >= MANY_BOXES
 
     def readers(self) -> list[Box]:
-        """Return the boxes to ask in this box's data centre, best first, this one among them."""
+        """Return the candidate readers of this box's data centre by rank, this box included."""
         return self._directory.list.readers
 
     @property
@@ -216,13 +228,13 @@
 
     @property
     def is_asked(self) -> bool:
-        """Whether the boxes of this data centre may ask this one for its reads."""
+        """Whether other boxes of this data centre may ask this one for its snapshots."""
         return self._box in self.readers()[:READERS_TRIED]
 
     def followers(self) -> list[Box]:
-        """Return the other boxes that follow the platform's changes: readers, if they apply.
+        """Return the other boxes that watch the platform: only the readers, if readers are used.
 
-        Those behind a reader hear from it within a second.
+        The others receive changes from their reader within a second.
         """
         boxes = self._directory.list
         if not self.applies:
@@ -231,7 +243,7 @@
         return [boxes.others[name] for name in readers if name != self._box.name]
 
     async def ask(self) -> bool:
-        """Ask a reader; return whether its read was taken and is recent."""
+        """Ask the readers in order; return whether a recent snapshot was applied."""
         for reader in self.readers()[:READERS_TRIED]:
             if reader.name == self._box.name:
                 return False
@@ -241,37 +253,37 @@
 
     async def _ask(self, reader: Box) -> bool:
         asked_at = trio.current_time()
-        question = {
+        request = {
             "box": self._box.name,
             "incarnation": self._box.incarnation,
             "revision": self._state.leases.record.revision,
             "list_revision": self._list_revision,
         }
         try:
-            value = await self._directory.post(reader, "/peer/read", question, RENEWAL_TIMEOUT_S)
-            return self._take_answer(reader, value, asked_at)
+            value = await self._directory.post(reader, "/peer/read", request, RENEWAL_TIMEOUT_S)
+            return self._take_reply(reader, value, asked_at)
         except (ExchangeError, BadRequestError) as error:
             self._state.log.event("reader_did_not_answer", other=reader.name, why=str(error))
             self.is_silent = True
             return False
 
-    def _take_answer(self, reader: Box, value: Any, asked_at: float) -> bool:
+    def _take_reply(self, reader: Box, value: Any, asked_at: float) -> bool:
         try:
             if not value["read"]:
                 self.is_silent = True
                 return False
-            newer = self._state.knowledge.lacks(StateVersions.from_json(value["knows"]))
-            self.newer_at = reader.address if newer else None
+            has_newer = self._state.knowledge.lacks(StateVersions.from_json(value["knows"]))
+            self.newer_state_at = reader.address if has_newer else None
             if not value["listed"]:
                 return False
-            # The reader's age counts back from an answer that came after the question.
+            # Counts from when the request was sent, before the reader computed the age.
             read_at = asked_at - float(value["age_ms"]) / 1000
             record = self._state.leases.record
             if value["record"] is not None:
                 record = record_from_json(value["record"], value["revision"])
             elif record.revision > value["revision"]:
                 record = attrs.evolve(record, revision=value["revision"])
-            # As the reader read it: what came back from a copy renews no lease here either.
+            # As the reader read it: a record restored from a backup renews no lease here either.
             record = attrs.evolve(
                 record,
                 era=int(value.get("era") or 0),
@@ -287,11 +299,11 @@
             self._state.positions.take(value["points"], asked_at)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadRequestError(
-                f"{reader.name} told nonsense: {error!r}; run one version"
+                f"{reader.name} sent a malformed reply: {error!r}; run one version on all boxes"
             ) from None
         self._directory.platform_read_at = max(self._directory.platform_read_at, read_at)
-        listing = PlatformSnapshot(record, dict(self._boxes))
-        if value["revision"] == record.revision and not self._take(listing, read_at):
+        snapshot = PlatformSnapshot(record, dict(self._boxes))
+        if value["revision"] == record.revision and not self._apply(snapshot, read_at):
             return False
         is_fresh = trio.current_time() - read_at < READ_FRESH_S
         self.is_silent = not is_fresh
--- a/wharftiller/daemons/sessions/membership/retirement.py
+++ b/wharftiller/daemons/sessions/membership/retirement.py
@@ -1,9 +1,9 @@
-"""Take boxes that are gone for good out of the list, so that nobody waits for their word.
+"""Remove dead boxes from the list, so that failovers do not wait for them to release leases.
 
-A box that is silent for a while is first marked. If it lives and reaches the
-platform, it finds the mark at its next read and registers anew before that read
-counts for a lease; if it does not reach the platform, its leases end with the age of
-its list. So an entry that has stood marked for `MARKED_S` stands for no lease.
+An unresponsive box is first tombstoned. If it is alive and reaches the platform, its next
+read shows the tombstone, and it registers again before that read renews a lease. If it does
+not reach the platform, its list of boxes becomes too old to renew leases. So a box whose
+tombstone is older than `TOMBSTONE_S` holds no lease.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from wharftiller.core.errors import PlatformUnavailableError
 from wharftiller.core.leadership.lease import LEASE_S, LISTING_S
-from wharftiller.daemons.sessions.membership.readers import ASKED_LATELY_S
+from wharftiller.daemons.sessions.membership.readers import REQUEST_RECENT_S
 
 if TYPE_CHECKING:
     import trio
@@ -25,37 +25,37 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 SILENT_S = 5.0
-"""Time after which a box that answers no round is marked, in seconds.
+"""Time after which an unresponsive box is tombstoned, in seconds.
 
-Longer than a restart (1 to 2 s); a box that is only cut off pays one more write.
+Longer than a restart (1 to 2 s); a box that was only cut off registers again.
 """
 
-MARKED_S = LISTING_S + LEASE_S + 1.0
-"""Time after which a marked entry is removed, in seconds: no lease outlives it."""
+TOMBSTONE_S = LISTING_S + LEASE_S + 1.0
+"""Age at which a tombstoned entry is removed, in seconds: its leases have expired."""
 
 
 class BoxRetirement:
-    """Marks silent boxes and removes those that have stood marked."""
+    """Tombstones unresponsive boxes and removes those with old tombstones."""
 
     def __init__(
         self,
         state: SharedState,
         directory: BoxDirectory,
         shared: SharedObjects,
-        desk: SnapshotServer,
+        snapshot_server: SnapshotServer,
         readers: SnapshotClient,
         nursery: trio.Nursery,
     ) -> None:
         self._state = state
         self._directory = directory
-        self._desk = desk
+        self._snapshot_server = snapshot_server
         self._readers = readers
         self._shared = shared
         self._nursery = nursery
         self._silent_since: dict[Box, float] = {}
 
-    def look(self, boxes: dict[str, Box], now: float) -> None:
-        """Look at the list as read from the platform at ``now`` (seconds)."""
+    def update(self, boxes: dict[str, Box], now: float) -> None:
+        """Tombstone or remove boxes of the list read from the platform at ``now`` (seconds)."""
         silent = [box for name, box in boxes.items() if self._is_silent(box, now)]
         self._silent_since = {box: self._silent_since.get(box, now) for box in silent}
         if not self._is_reader():
@@ -63,16 +63,16 @@
         for box, since in self._silent_since.items():
             if not box.retired and now - since > SILENT_S:
                 self._nursery.start_soon(self._retire, box)
-            elif box.retired and now - since > MARKED_S:
+            elif box.retired and now - since > TOMBSTONE_S:
                 self._nursery.start_soon(self._remove, box)
 
     def _is_silent(self, box: Box, now: float) -> bool:
         if not self._readers.applies:
             return box.name not in self._directory.replies
         if box.data_centre != self._readers.data_centre:
-            # The reader over there looks after it.
+            # The reader of that data centre is responsible for it.
             return False
-        return now - self._desk.asked_at.get(box.name, -math.inf) > ASKED_LATELY_S
+        return now - self._snapshot_server.asked_at.get(box.name, -math.inf) > REQUEST_RECENT_S
 
     def _is_reader(self) -> bool:
         if self._readers.applies:
--- a/wharftiller/daemons/sessions/membership/tombstones.py
+++ b/wharftiller/daemons/sessions/membership/tombstones.py
@@ -1,4 +1,4 @@
-"""Which of the boxes marked as dead surely hold no lease any more."""
+"""Determine which tombstoned boxes hold no lease."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 @attrs.frozen
-class _Mark:
-    """A mark that a box is dead.
+class _Tombstone:
+    """A tombstone of a box.
 
     Attributes
     ----------
     revision : int
-        Of the marked entry; another one is another mark.
+        Revision of the tombstoned entry; another revision is another tombstone.
     read_at : float
         When this box first read it, in seconds.
     """
@@ -31,33 +31,35 @@
 
 
 class Tombstones:
-    """The marks that this box has read, and when it last answered each box's rounds."""
+    """The tombstones that this box has read, and when it last answered each box's renewals."""
 
     def __init__(self, directory: BoxDirectory) -> None:
         self._directory = directory
-        self._marks: dict[str, _Mark] = {}
-        self._answered_at: dict[str, float] = {}
+        self._tombstones: dict[str, _Tombstone] = {}
+        self._renewal_answered_at: dict[str, float] = {}
 
-    def take(self, marks: dict[str, int]) -> None:
-        """Take in which boxes an own read of the platform shows as dead, by entry's revision."""
+    def replace(self, tombstones: dict[str, int]) -> None:
+        """Replace the tombstones by those of a read of the platform, as revisions by box."""
         now = trio.current_time()
-        self._marks = {
+        self._tombstones = {
             name: known
-            if (known := self._marks.get(name)) is not None and known.revision == revision
-            else _Mark(revision, now)
-            for name, revision in marks.items()
+            if (known := self._tombstones.get(name)) is not None and known.revision == revision
+            else _Tombstone(revision, now)
+            for name, revision in tombstones.items()
         }
 
-    def note_answered(self, box: str) -> None:
-        """Note that a round of another box is being answered."""
-        self._answered_at[box] = trio.current_time()
+    def record_renewal(self, box: str) -> None:
+        """Record that this box answers a renewal of ``box`` now."""
+        self._renewal_answered_at[box] = trio.current_time()
 
     def confirmed_dead(self) -> list[str]:
-        """Return the boxes marked as dead that hold no lease any more."""
+        """Return the tombstoned boxes that hold no lease."""
         now = trio.current_time()
         listed_s = self._directory.listed_s(now)
         return [
             name
-            for name, mark in self._marks.items()
-            if holds_no_lease(mark.read_at, self._answered_at.get(name, -math.inf), listed_s, now)
+            for name, tombstone in self._tombstones.items()
+            if holds_no_lease(
+                tombstone.read_at, self._renewal_answered_at.get(name, -math.inf), listed_s, now
+            )
         ]
--- a/wharftiller/tests/platform/test_idle.py
+++ b/wharftiller/tests/platform/test_idle.py
@@ -1,4 +1,4 @@
-"""What boxes of a large deployment do while no caller asks for anything."""
+"""Work that boxes of a large deployment do without callers."""
 
 from __future__ import annotations
 
@@ -14,15 +14,13 @@
 BOXES = 24
 GROUPS = 8
 SCARCE = 20
-"""Connections to an endpoint: fewer than two a box, so that a few homes serve each group."""
+"""Connections to an endpoint: fewer than two per box, so that few gateways serve each group."""
 
-WATCHED_S = 5.0
+MEASURED_S = 5.0
+"""Length of the measured period, and of the warm-up before it, in seconds."""
 
-STEPS_A_SECOND = 75
-"""Steps of all tasks for one box in a second, those of the stand-ins for its questions too.
-
-137 before tasks waited for something to watch, 63 since (24 boxes, virtual time).
-"""
+MAX_STEPS_PER_S = 75
+"""Maximum steps of all tasks per box and second of virtual time, stand-ins included."""
 
 
 class Steps(trio.abc.Instrument):
@@ -35,53 +33,51 @@
         self.count += 1
 
 
-def run_large(story: Callable[[World], Awaitable[None]]) -> None:
+def run_large(scenario: Callable[[World], Awaitable[None]]) -> None:
     groups = [make_group(f"g{n}", network=20 + n, max_connections=SCARCE) for n in range(GROUPS)]
-    run_in_world(story, boxes=BOXES, groups=groups)
+    run_in_world(scenario, boxes=BOXES, groups=groups)
 
 
 class TestIdleBoxes:
     def test_tasks_seldom_run(self) -> None:
-        async def story(world: World) -> None:
-            await trio.sleep(WATCHED_S)
+        async def scenario(world: World) -> None:
+            await trio.sleep(MEASURED_S)
             steps = Steps()
             trio.lowlevel.add_instrument(steps)
-            await trio.sleep(WATCHED_S)
+            await trio.sleep(MEASURED_S)
             trio.lowlevel.remove_instrument(steps)
-            assert steps.count / BOXES / WATCHED_S < STEPS_A_SECOND
+            assert steps.count / BOXES / MEASURED_S < MAX_STEPS_PER_S
 
-        run_large(story)
+        run_large(scenario)
 
-    def test_homes_are_worked_out_once_for_each_list(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_gateways_are_planned_once_per_list(self, monkeypatch: pytest.MonkeyPatch) -> None:
         calls = []
 
-        def counted(max_connections: int, boxes: int, data_centres: int) -> GatewayPlan:
+        def counting(max_connections: int, boxes: int, data_centres: int) -> GatewayPlan:
             calls.append(boxes)
             return plan_gateways(max_connections, boxes, data_centres)
 
-        async def story(world: World) -> None:
-            await trio.sleep(WATCHED_S)
+        async def scenario(world: World) -> None:
+            await trio.sleep(MEASURED_S)
             monkeypatch.setattr(
-                "wharftiller.daemons.sessions.forwarding.gateways.plan_gateways", counted
+                "wharftiller.daemons.sessions.forwarding.gateways.plan_gateways", counting
             )
-            await trio.sleep(WATCHED_S)
+            await trio.sleep(MEASURED_S)
             assert not calls
 
-        run_large(story)
+        run_large(scenario)
 
-    def test_turns_are_worked_out_for_primaries_in_need_only(
-        self, monkeypatch: pytest.MonkeyPatch
-    ) -> None:
+    def test_ranks_are_computed_only_for_failovers(self, monkeypatch: pytest.MonkeyPatch) -> None:
         ranks = []
 
-        def counted(monitor: FailoverMonitor, key: str) -> int:
-            ranks.append(key)
+        def counting(monitor: FailoverMonitor, what: str) -> int:
+            ranks.append(what)
             return 0
 
-        async def story(world: World) -> None:
-            await trio.sleep(WATCHED_S)
-            monkeypatch.setattr(FailoverMonitor, "_rank", counted)
-            await trio.sleep(WATCHED_S)
+        async def scenario(world: World) -> None:
+            await trio.sleep(MEASURED_S)
+            monkeypatch.setattr(FailoverMonitor, "_rank", counting)
+            await trio.sleep(MEASURED_S)
             assert not ranks
 
-        run_large(story)
+        run_large(scenario)
--- a/wharftiller/tests/platform/test_starts.py
+++ b/wharftiller/tests/platform/test_starts.py
@@ -1,4 +1,4 @@
-"""Boxes that start: one of many, many at once, all of them again."""
+"""Starts of boxes: one of many, many at once, and a restart of all."""
 
 from __future__ import annotations
 
@@ -14,80 +14,72 @@
 
 BOXES = 24
 
-WORDS_EACH = 6
-"""Questions and words to other boxes for each of 24 that start within a second, and 3 s more.
-
-176 before what a box reads first stopped being told as news, 3 since (virtual time).
-"""
-
-CALLS = 5
-"""Calls to the platform for one box that starts, those of readers that look after it too.
-
-18 before neighbours told it and readers accounted for its entry; 5 since, two of its own and
-one of each of three readers, which list the entries again (virtual time).
-"""
+MAX_REQUESTS_PER_BOX = 6
+"""Maximum requests to other boxes per box, for 24 boxes in their first seconds."""
 
+MAX_CALLS = 5
+"""Maximum calls to the platform for one box that starts: two of its own, one of each reader."""
 
 NO_READER = 12
-"""Number of a tenth box that does not become the reader of its data centre."""
+"""Number of a tenth box that does not become its data centre's reader."""
 
 READER = "box-4"
 """The reader of that data centre."""
 
 
 class TestManyAtOnce:
-    def test_they_ask_each_other_little(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        post, words = BoxDirectory.post, []
+    def test_few_requests_between_boxes(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        post, requests = BoxDirectory.post, []
 
-        async def counted(directory: BoxDirectory, *args: Any) -> Any:
-            words.append(args[1])
+        async def counting(directory: BoxDirectory, *args: Any) -> Any:
+            requests.append(args[1])
             return await post(directory, *args)
 
-        async def story(world: World) -> None:
-            assert len(words) / BOXES < WORDS_EACH
+        async def scenario(world: World) -> None:
+            assert len(requests) / BOXES < MAX_REQUESTS_PER_BOX
 
-        monkeypatch.setattr(BoxDirectory, "post", counted)
-        run_in_world(story, boxes=BOXES)
+        monkeypatch.setattr(BoxDirectory, "post", counting)
+        run_in_world(scenario, boxes=BOXES)
 
     def test_the_log_does_not_grow_with_the_square_of_the_boxes(self) -> None:
-        """A line for each list that changes, not one for each box on it: 23 lines a box before."""
+        """A change of the list is logged in one line, not in one per box."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             for box in world.boxes.values():
                 lines = box.events("boxes_listed")
                 assert len(lines) <= BOXES / 3
                 assert sum(line["new_count"] - line["gone_count"] for line in lines) == BOXES - 1
                 assert lines[-1]["listed"] == BOXES - 1
 
-        run_in_world(story, boxes=BOXES)
+        run_in_world(scenario, boxes=BOXES)
 
 
 class TestOneOfMany:
-    def test_it_learns_from_neighbours(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_it_syncs_from_peers(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(readers, "MANY_BOXES", 4)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
-            quiet = world.store.calls
+            idle_calls = world.store.calls
             await trio.sleep(5)
-            quiet = world.store.calls - quiet
+            idle_calls = world.store.calls - idle_calls
             before = world.store.calls
             box = await world.start_box(NO_READER)
             await trio.sleep(5)
-            assert world.store.calls - before - quiet <= CALLS
+            assert world.store.calls - before - idle_calls <= MAX_CALLS
             caller = await world.call(box, "primary")
             assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
 
-        run_in_world(story, boxes=9, bounds=PlatformBounds(configuration_in_force_s=6.0))
+        run_in_world(scenario, boxes=9, bounds=PlatformBounds(configuration_in_force_s=6.0))
 
     @pytest.mark.parametrize("reader_answers", [True, False])
-    def test_it_believes_no_seed_that_is_parted_from_the_platform(
+    def test_it_ignores_seeds_cut_off_from_the_platform(
         self, reader_answers: bool, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The seeds still have a configuration that was replaced long ago."""
+        """The seeds still have an old configuration."""
         monkeypatch.setattr(readers, "MANY_BOXES", 4)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             seeds = [world.boxes["box-1"].ip, world.boxes["box-2"].ip]
             others = [box.ip for box in world.boxes.values() if box.ip not in seeds]
@@ -103,15 +95,15 @@
             assert box.process.proxy is not None
             assert box.process.proxy.state.version == 7
 
-        run_in_world(story, boxes=9)
+        run_in_world(scenario, boxes=9)
 
 
-class TestAllAgain:
+class TestRestartOfAll:
     @pytest.mark.parametrize("boxes", [3, 24])
     def test_writes_are_taken_within_a_second(self, boxes: int) -> None:
-        """All processes are killed; nobody is left who knows anything."""
+        """All processes were killed, so no box has any state."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             for box in list(world.boxes.values()):
                 await world.kill_box(box)
@@ -121,4 +113,4 @@
             caller = await world.call(world.boxes["box-1"], "primary")
             assert await write_until_done(caller, "WRITE seat1 x", 3.0) < 1.0
 
-        run_in_world(story, boxes=boxes)
+        run_in_world(scenario, boxes=boxes)
