--- a/wharftiller/edges/__init__.py
+++ b/wharftiller/edges/__init__.py
@@ -1,1 +1,1 @@
-"""The edges to outside parties: callers, endpoints, the platform, peers, operators."""
+"""Interfaces to other processes: callers, endpoints, the platform, peers, operators."""
--- a/wharftiller/edges/allowances_json.py
+++ b/wharftiller/edges/allowances_json.py
@@ -1,4 +1,4 @@
-"""Questions for tokens and for loans between boxes, and their answers, as JSON."""
+"""Requests for tokens and for loans between boxes, and their replies, as JSON."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from wharftiller.edges.forwarded_json import workspace_from_json, workspace_to_json
 
 MAX_LENT = 1e12
-"""A loan of more operations is nonsense."""
+"""Limit of a loan, in operations; a larger one is invalid."""
 
 
 @attrs.frozen
 class TokenRequest:
-    """A box asks a workspace's keeper for tokens.
+    """A request for tokens to a workspace's token server.
 
     Attributes
     ----------
     wanted : int
-        Tokens asked for.
+        Tokens requested.
     unused : int
-        Tokens granted before that lapsed without an operation.
+        Tokens granted earlier that expired unused.
     """
 
     workspace: Workspace
@@ -33,7 +33,7 @@
 
 
 def token_request_to_json(question: TokenRequest) -> dict[str, Any]:
-    """Return a question for tokens as JSON."""
+    """Return a request for tokens as JSON."""
     return {
         "workspace": workspace_to_json(question.workspace),
         "wanted": question.wanted,
@@ -42,54 +42,56 @@
 
 
 def token_request_from_json(value: Any) -> TokenRequest:
-    """Return the question for tokens that ``value`` holds.
+    """Decode a request for tokens.
 
     Raises
     ------
     BadRequestError
-        If it is none.
+        If ``value`` is not a valid request.
     """
     try:
         workspace = workspace_from_json(value["workspace"])
         wanted, unused = int(value["wanted"]), int(value["unused"])
     except (KeyError, TypeError, ValueError) as error:
-        raise BadRequestError(f"no tokens are asked for: {error!r}; run one version") from None
+        raise BadRequestError(
+            f"invalid request for tokens: {error!r}; run the same version on all boxes"
+        ) from None
     if workspace is None or wanted < 1 or unused < 0:
-        raise BadRequestError("a question for tokens names a workspace and how many it wants")
+        raise BadRequestError("a request for tokens needs a workspace, wanted >= 1 and unused >= 0")
     return TokenRequest(workspace, min(wanted, MAX_PREFETCHED), min(unused, MAX_PREFETCHED))
 
 
 def grant_to_json(grant: Grant) -> dict[str, Any]:
-    """Return a keeper's grant as JSON."""
+    """Return a token server's grant as JSON."""
     return attrs.asdict(grant)
 
 
 def grant_from_json(value: Any) -> Grant:
-    """Return the grant that ``value`` holds.
+    """Decode a grant.
 
     Raises
     ------
     ExchangeError
-        If it is none.
+        If ``value`` is not a valid grant.
     """
     try:
         return Grant(int(value["tokens"]), float(value["after_s"]))
     except (KeyError, TypeError, ValueError) as error:
-        raise ExchangeError(f"the keeper granted nonsense: {error!r}") from None
+        raise ExchangeError(f"the token server sent an invalid grant: {error!r}") from None
 
 
 def loan_request_to_json(workspace: Workspace, question: LoanRequest) -> dict[str, Any]:
-    """Return a question for a loan of ``workspace``'s allowance as JSON."""
+    """Return a request for a loan of ``workspace``'s allowance as JSON."""
     return {"workspace": workspace_to_json(workspace), **attrs.asdict(question)}
 
 
 def loan_request_from_json(value: Any) -> tuple[Workspace, LoanRequest]:
-    """Return the workspace and the question for a loan that ``value`` holds.
+    """Decode a request for a loan, and its workspace.
 
     Raises
     ------
     BadRequestError
-        If it is none.
+        If ``value`` is not a valid request.
     """
     try:
         workspace = workspace_from_json(value["workspace"])
@@ -98,26 +100,30 @@
             str(value["borrower"]), str(value["keeper"]), held, value["more"] is True
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise BadRequestError(f"no loan is asked for: {error!r}; run one version") from None
+        raise BadRequestError(
+            f"invalid request for a loan: {error!r}; run the same version on all boxes"
+        ) from None
     if workspace is None or not 0 <= held < MAX_LENT:
-        raise BadRequestError("a question for a loan names a workspace and what is held of it")
+        raise BadRequestError(
+            f"a request for a loan needs a workspace, and held from 0 to {MAX_LENT:g}"
+        )
     return workspace, question
 
 
 def loan_reply_to_json(answer: LoanReply | None) -> dict[str, Any]:
-    """Return a keeper's answer as JSON; empty where the box asked is not the keeper."""
+    """Return a reply as JSON; empty where this box is not the workspace's token server."""
     return {} if answer is None else attrs.asdict(answer)
 
 
 def loan_reply_from_json(value: Any) -> LoanReply | None:
-    """Return what was lent; None if the box that was asked is not the keeper.
+    """Decode a reply; None if the box is not the workspace's token server.
 
     Raises
     ------
     ExchangeError
-        If it is no answer.
+        If ``value`` is not a valid reply.
     """
     try:
         return LoanReply(float(value["lent"]), float(value["held"])) if value else None
     except (KeyError, TypeError, ValueError) as error:
-        raise ExchangeError(f"the keeper lent nonsense: {error!r}") from None
+        raise ExchangeError(f"the token server sent an invalid loan: {error!r}") from None
--- a/wharftiller/edges/callers.py
+++ b/wharftiller/edges/callers.py
@@ -1,4 +1,4 @@
-"""The callers' edge: statements over HTTP with JSON, one final answer each."""
+"""The callers' interface: statements over HTTP with JSON, one final answer each."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     kind : str
         ``read``, ``write``, ``begin``, ``commit`` or ``rollback``.
     max_age_ms : int or None
-        0 asks for the latest data, absent for what the pool's rule says.
+        0 requests the latest data; None applies the pool's rule.
     explain : bool
-        Whether the answer carries the steps of the decision.
+        Whether the answer includes the steps of the decision.
     """
 
     pool: str
@@ -61,7 +61,8 @@
     Raises
     ------
     WharfError
-        If the request is malformed, not authenticated, or its token is not its own.
+        If the request is malformed or not authenticated, or its session token was not issued for
+        its pool and business.
     """
     body = from_caller(request.json(), CallerStatement)
     _check_figures(body)
@@ -85,9 +86,11 @@
     if body.kind not in _ACTIONS:
         raise BadRequestError(f"kind is {body.kind!r}; use one of {sorted(_ACTIONS)}")
     if body.kind in ("commit", "rollback") and body.transaction is None:
-        raise BadRequestError(f"a {body.kind} names no transaction; send the one 'begin' gave")
+        raise BadRequestError(
+            f"a {body.kind} needs a transaction; send the one that 'begin' returned"
+        )
     if body.kind == "begin" and body.transaction is not None:
-        raise BadRequestError("a begin names a transaction; transactions do not nest")
+        raise BadRequestError("a begin takes no transaction; transactions do not nest")
 
 
 def _to_request(body: CallerStatement, keys: KeyRing) -> Request:
--- a/wharftiller/edges/codec.py
+++ b/wharftiller/edges/codec.py
@@ -1,4 +1,4 @@
-"""Typed messages to and from JSON values, strictly checked."""
+"""Conversion of typed messages to and from JSON values, with strict type checks."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def make_strict_converter(*, forbid_extra_keys: bool, detailed: bool) -> cattrs.Converter:
-    """Return a converter that accepts no value of another type."""
+    """Return a converter that coerces no types; an int is accepted as a float."""
     converter = make_converter(forbid_extra_keys=forbid_extra_keys, detailed_validation=detailed)
     for kind in (int, str, bool):
         converter.register_structure_hook(kind, _strict(kind))
@@ -43,7 +43,7 @@
 
 
 def _interned(value: Any, _: Any) -> str:
-    """Keep one copy of a name, however often a configuration repeats it."""
+    """Intern strings, since a configuration repeats its names."""
     if type(value) is not str:
         raise ValueError(f"{value!r} is a {type(value).__name__}, a str is needed")
     return sys.intern(value)
@@ -63,7 +63,7 @@
     Raises
     ------
     BadRequestError
-        With every fault, the path to it and what is needed.
+        Lists every invalid field with its path and what is expected.
     """
     try:
         return _fast.structure(value, kind)
@@ -90,18 +90,18 @@
 
 
 def from_peer(value: Any, kind: type[T]) -> T:
-    """Return ``value`` from another of our processes as ``kind``.
+    """Return ``value`` from another process of this system as ``kind``.
 
-    Unknown fields are passed over, so that boxes of two versions can talk.
+    Unknown fields are ignored, so that processes of different versions can communicate.
 
     Raises
     ------
     ExchangeError
-        If it is not one.
+        If ``value`` does not match ``kind``.
     """
     try:
         return _peer.structure(value, kind)
     except Exception as error:
         raise ExchangeError(
-            f"a peer's {kind.__name__} cannot be read: {error!r}. Check both sides' versions"
+            f"invalid {kind.__name__} from a peer: {error!r}. Check the versions on both sides"
         ) from None
--- a/wharftiller/edges/configuration_store.py
+++ b/wharftiller/edges/configuration_store.py
@@ -1,8 +1,8 @@
 """The configuration as objects of the platform: a small head and shards of specs.
 
-A shard's object is never changed once written; the head names the one in force,
-so a change takes effect by one conditional update of the head. The objects that
-a change replaces are listed as retired and deleted some changes later.
+Shard objects are immutable; the head refers to those in force, so a change takes
+effect by one conditional update of the head. Replaced shard objects are listed as
+retired and deleted some changes later.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class AppliedPlan:
-    """A plan that took effect, and the generation it made."""
+    """A plan that took effect, and the generation it created."""
 
     plan: str
     generation: int
@@ -39,14 +39,14 @@
 
 @attrs.frozen
 class Head:
-    """The object that says what is in force.
+    """The object that refers to the shards in force.
 
     Attributes
     ----------
     shards : dict of str to str
-        Key of the shard's object, per shard number that is not empty.
+        Key of the shard's object by shard number; empty shards are left out.
     applied : list of AppliedPlan
-        The newest plans, oldest first.
+        The most recent plans, oldest first.
     retired : list of str
         Keys of replaced objects, oldest first.
     """
@@ -57,7 +57,7 @@
     retired: list[str] = attrs.field(factory=list)
 
     def generation_of(self, plan: str) -> int | None:
-        """Return the generation that ``plan`` made, if it is one of the newest."""
+        """Return the generation that ``plan`` created; None if it is not listed."""
         for applied in self.applied:
             if applied.plan == plan:
                 return applied.generation
@@ -79,7 +79,7 @@
 
 
 class ConfigurationStore:
-    """Reads and replaces the configuration; keeps the shards it has read."""
+    """Reads and replaces the configuration; caches the shards of the last read."""
 
     def __init__(self, platform: PlatformClient) -> None:
         self._platform = platform
@@ -91,12 +91,12 @@
         Raises
         ------
         PlatformUnavailableError
-            If the platform does not answer, or the head moved on while reading.
+            If the platform does not answer, or the configuration changed during the read.
         """
         return await self.load_from(await self._platform.read(HEAD_KEY))
 
     async def load_from(self, stored: StoredObject | None) -> StoredConfiguration:
-        """Return the configuration that a head just read stands for."""
+        """Return the configuration that the head ``stored`` refers to."""
         if stored is None:
             return StoredConfiguration(Head(), 0, Configuration())
         head = from_peer(stored.value, Head)
@@ -115,17 +115,17 @@
         stored = await self._platform.read(key)
         if stored is None:
             raise PlatformUnavailableError(
-                f"{key} is gone; the configuration moved on while it was read. Read it again"
+                f"{key} was deleted; the configuration changed during the read. Read it again"
             )
         return from_peer(stored.value, Shard)
 
     async def replace(self, base: StoredConfiguration, wanted: Configuration, plan: str) -> int:
-        """Put ``wanted`` in force in place of ``base`` and return its generation.
+        """Replace ``base`` by ``wanted`` and return the new generation.
 
         Raises
         ------
         ConflictError
-            If the configuration is no longer ``base``.
+            If ``base`` is no longer in force.
         """
         generation = base.head.generation + 1
         before = _split(base.configuration)
--- a/wharftiller/edges/endpoints.py
+++ b/wharftiller/edges/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints' edge: statement connections, and control connections for reports."""
+"""Connections to endpoints: for statements, and control connections for reports."""
 
 from __future__ import annotations
 
@@ -37,19 +37,19 @@
 
 @attrs.define
 class _Connection:
-    """A statement connection's task: where to send statements, how to end it."""
+    """The task of a statement connection: its queue of statements and its cancel scope."""
 
     statements: trio.MemorySendChannel[SendStatement]
     scope: trio.CancelScope
 
 
 class StatementConnections:
-    """Carries out the core's orders on statement connections.
+    """Executes the core's outputs for statement connections.
 
     Parameters
     ----------
     feed : callable
-        Takes what happens on them.
+        Receives the resulting inputs.
     """
 
     def __init__(self, transport: Transport, box: str, nursery: trio.Nursery, feed: Feed) -> None:
@@ -60,20 +60,20 @@
         self._connections: dict[int, _Connection] = {}
 
     def open(self, order: OpenConnection) -> None:
-        """Open a connection; its fate is fed back."""
+        """Open a connection; the result is fed back as an input."""
         send, receive = trio.open_memory_channel[SendStatement](2)
         connection = _Connection(send, trio.CancelScope())
         self._connections[order.connection] = connection
         self._nursery.start_soon(self._run, order, connection.scope, receive)
 
     def send(self, order: SendStatement) -> None:
-        """Send a statement; a connection that has gone has said so already."""
+        """Send a statement; ignored on a lost connection, which was reported already."""
         connection = self._connections.get(order.connection)
         if connection is not None:
             connection.statements.send_nowait(order)
 
     def close(self, number: int) -> None:
-        """Close a connection without a word."""
+        """Close a connection without feeding back an input."""
         connection = self._connections.pop(number, None)
         if connection is not None:
             connection.scope.cancel()
@@ -140,7 +140,7 @@
 
 
 class ReportLanes:
-    """Control connections: one per server and lane, kept open."""
+    """Control connections: one per server and lane, kept open between requests."""
 
     def __init__(self, transport: Transport, nursery: trio.Nursery, feed: Feed) -> None:
         self._transport = transport
@@ -149,7 +149,7 @@
         self._clients: dict[tuple[str, Lane], HttpClient] = {}
 
     def send(self, order: SendReport) -> None:
-        """Ask for a report; it, or its loss, is fed back."""
+        """Request a report; it, or its loss, is fed back as an input."""
         self._nursery.start_soon(self._ask, order, trio.current_time())
 
     def _client(self, order: SendReport) -> HttpClient:
--- a/wharftiller/edges/forwarded_json.py
+++ b/wharftiller/edges/forwarded_json.py
@@ -1,6 +1,6 @@
 """Statements that one box runs for another, and their replies, as JSON.
 
-Texts and rows keep bytes that are no UTF-8: each byte travels as one character.
+Texts and rows may hold bytes that are not UTF-8: each byte is encoded as one character.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 
 @attrs.frozen
 class ForwardedStatement:
-    """One statement with all of its session that decides how it runs.
+    """One statement, with the session state that it depends on.
 
     Attributes
     ----------
     age_s, begun_s : float
-        How long ago it came, and how long ago its transaction began, in seconds.
+        Time since it arrived, and since its transaction began, in seconds.
     workspace : Workspace or None
-        Whose it is; None where callers need no keys.
+        Workspace of its caller; None where callers need no keys.
     transaction : str
-        Id of its transaction; empty outside any.
+        Id of its transaction; empty outside a transaction.
     begins : bool
-        Whether the transaction begins with it.
+        Whether it is the first of its transaction.
     needed : PreparedStatement or None
-        What the name that it executes stands for.
+        The prepared statement that it executes.
     own_write : LogPosition or None
-        Newest position that the session wrote in the route's group.
+        Last position that the session wrote in the route's group.
     unsettled : bool
-        Whether the outcome of a write of the session in that group is not known.
+        Whether the outcome of a write of the session in that group is unknown.
     """
 
     box: str
@@ -75,16 +75,16 @@
 
 @attrs.frozen
 class ForwardedReply:
-    """The reply of the box that ran it.
+    """The reply of the box that ran a forwarded statement.
 
     Attributes
     ----------
     own_write, unsettled
-        What the session wrote by now; see `ForwardedStatement`.
+        Updated values; see `ForwardedStatement`.
     primary_usable : bool
         Whether that box can use the group's primary.
     lacks_lease : bool
-        Whether it may not use it, though other boxes may.
+        Whether it may not use the primary for want of a lease, though other boxes may.
     """
 
     reply: Reply
@@ -147,7 +147,7 @@
         case ["own_writes", max_age_s]:
             consistency = OwnWritesReads(float(max_age_s))
         case other:
-            raise ValueError(f"{other!r} is no kind of reading")
+            raise ValueError(f"unknown consistency {other!r}")
     return Route(
         name=str(value["name"]),
         database=str(value["database"]),
@@ -160,7 +160,7 @@
 
 
 def workspace_to_json(workspace: Workspace | None) -> list[Any] | None:
-    """Return a workspace as JSON: its name and its allowance."""
+    """Return a workspace as JSON: its name and allowance."""
     if workspace is None:
         return None
     allowance = workspace.allowance
@@ -169,12 +169,12 @@
 
 
 def workspace_from_json(value: Any) -> Workspace | None:
-    """Return the workspace that ``value`` holds.
+    """Decode a workspace.
 
     Raises
     ------
     TypeError, ValueError
-        If it holds none.
+        If ``value`` is not a valid workspace.
     """
     if value is None:
         return None
@@ -192,7 +192,7 @@
         case Commit():
             return ["commit"]
         case _:
-            raise BadRequestError(f"{body!r} is answered by the box that got it")
+            raise BadRequestError(f"{body!r} is not forwarded; the box that received it runs it")
 
 
 def _body_from_json(value: Any) -> ForwardedBody:
@@ -204,7 +204,7 @@
         case ["commit"]:
             return Commit()
         case _:
-            raise ValueError(f"{value!r} is no statement that is passed on")
+            raise ValueError(f"{value!r} is not a forwarded statement")
 
 
 def statement_to_json(asked: ForwardedStatement) -> dict[str, Any]:
@@ -212,7 +212,7 @@
     return {
         "box": asked.box,
         "workspace": workspace_to_json(asked.workspace),
-        # Boxes that know no workspaces yet refuse a statement without it.
+        # Required by boxes of a version without workspaces.
         "caller": "",
         "route": _route_to_json(asked.route),
         "request": _to_text(asked.statement.request_id),
@@ -231,12 +231,12 @@
 
 
 def statement_from_json(value: Any) -> ForwardedStatement:
-    """Return the statement that ``value`` holds.
+    """Decode a statement.
 
     Raises
     ------
     BadRequestError
-        If it is none.
+        If ``value`` is not a valid statement.
     """
     try:
         return ForwardedStatement(
@@ -259,7 +259,9 @@
             unsettled=value["unsettled"] is True,
         )
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BadRequestError(f"no statement to run: {error!r}; run one version") from None
+        raise BadRequestError(
+            f"invalid statement: {error!r}; run the same version on all boxes"
+        ) from None
 
 
 def reply_to_json(told: ForwardedReply) -> dict[str, Any]:
@@ -281,12 +283,12 @@
 
 
 def reply_from_json(value: Any) -> ForwardedReply:
-    """Return the reply that ``value`` holds.
+    """Decode a reply.
 
     Raises
     ------
     BadRequestError
-        If it is none.
+        If ``value`` is not a valid reply.
     """
     try:
         refusal = value["refusal"]
@@ -303,7 +305,9 @@
         lacks_lease = value["lacks_lease"] is True
         return ForwardedReply(reply, own_write, value["unsettled"] is True, usable, lacks_lease)
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BadRequestError(f"no reply to a statement: {error!r}; run one version") from None
+        raise BadRequestError(
+            f"invalid reply to a statement: {error!r}; run the same version on all boxes"
+        ) from None
 
 
 def _refusal_to_json(refusal: Refusal) -> list[str | None]:
--- a/wharftiller/edges/http_client.py
+++ b/wharftiller/edges/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests with JSON over kept connections."""
+"""HTTP/1.1 client for JSON requests over persistent connections."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from wharftiller.edges.transport import Transport, close_now
 
 MAX_DECOMPRESSED = 16 * 1024 * 1024
-"""Bytes that a compressed answer may have: a configuration has at most one million."""
+"""Limit of a decompressed response; a configuration has at most one million bytes."""
 
 SENT_AGAIN = ("GET", "PUT")
-"""Methods that are sent again when a kept connection turns out to be closed."""
+"""Idempotent methods, retried when a persistent connection turns out to be closed."""
 
 
 class _ResponseCollector:
-    """Gathers one response from the parser's callbacks."""
+    """Builds one response from the parser's callbacks."""
 
     def __init__(self) -> None:
         self.complete = False
@@ -46,7 +46,7 @@
 
 @attrs.define
 class HttpAnswer:
-    """A response as a client sees it."""
+    """A response with its body not yet decoded."""
 
     status: int
     headers: dict[str, str]
@@ -63,7 +63,7 @@
         try:
             return orjson.loads(self._plain_body())
         except (orjson.JSONDecodeError, zlib.error) as error:
-            raise ExchangeError(f"the answer is not JSON: {error}. Check the peer") from None
+            raise ExchangeError(f"the response is not JSON: {error}. Check the peer") from None
 
     def _plain_body(self) -> bytes:
         if self.headers.get("content-encoding") != "deflate":
@@ -79,7 +79,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether nothing unexpected has come on it; the peer may have closed it."""
+        """Whether no unexpected bytes arrived; the peer may still have closed it."""
         if isinstance(self._stream, trio.SocketStream):
             return not self._stream.socket.is_readable()
         return True
@@ -87,19 +87,19 @@
     async def request(
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
     ) -> HttpAnswer:
-        """Send a request and return its answer.
+        """Send a request and return the response.
 
         Raises
         ------
         ExchangeError
-            If the connection breaks or the answer is not HTTP; the connection
+            If the connection breaks or the response is not HTTP; the connection
             cannot be used again.
         """
         try:
             await self._stream.send_all(_encode_request(method, path, body, headers or {}))
             return await self._read_answer()
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise ExchangeError(f"the connection broke during {method} {path}") from error
+            raise ExchangeError(f"the connection was lost during {method} {path}") from error
 
     async def _read_answer(self) -> HttpAnswer:
         collector = _ResponseCollector()
@@ -107,13 +107,13 @@
         while not collector.complete:
             data = await self._stream.receive_some(READ_BYTES)
             if not data:
-                raise ExchangeError("the peer closed the connection before answering")
+                raise ExchangeError("the peer closed the connection before its response")
             try:
                 parser.feed_data(data)
             except httptools.HttpParserError as error:
-                raise ExchangeError(f"the answer is not HTTP/1.1: {error}") from None
+                raise ExchangeError(f"the response is not HTTP/1.1: {error}") from None
         if collector.extra:
-            raise ExchangeError("the peer sent more than one answer to a request")
+            raise ExchangeError("the peer sent more than one response to a request")
         return HttpAnswer(parser.get_status_code(), collector.headers, b"".join(collector.body))
 
     async def aclose(self) -> None:
@@ -130,7 +130,7 @@
 
 
 class HttpClient:
-    """Requests to one address over a kept connection, opened anew when it breaks."""
+    """Sends requests to one address over a persistent connection, reopened when lost."""
 
     def __init__(self, transport: Transport, address: str) -> None:
         self._transport = transport
@@ -140,7 +140,7 @@
 
     @property
     def address(self) -> str:
-        """Where requests go."""
+        """Address that requests are sent to."""
         return self._address
 
     async def request(
@@ -157,7 +157,7 @@
         Raises
         ------
         ExchangeError
-            If no answer came; the request may or may not have taken effect.
+            If no response came; the request may or may not have taken effect.
         """
         with trio.move_on_after(timeout_s):
             async with self._lock:
@@ -185,22 +185,22 @@
                 await self.aclose()
 
     async def aclose(self) -> None:
-        """Drop the kept connection."""
+        """Close the persistent connection."""
         connection, self._connection = self._connection, None
         if connection is not None:
             await connection.aclose()
 
 
 class NoAnswerInTimeError(ExchangeError):
-    """No answer came in time; the other side may be slow."""
+    """No response within the timeout; the peer may be slow."""
 
 
 class NotSentError(ExchangeError):
-    """No connection could be had, so nothing was sent."""
+    """No connection could be opened, so nothing was sent."""
 
 
 class HttpPool:
-    """Requests to one address over as many kept connections as are needed at once."""
+    """Sends concurrent requests to one address over a pool of persistent connections."""
 
     def __init__(self, transport: Transport, address: str, connect_timeout_s: float) -> None:
         self._transport = transport
@@ -209,14 +209,14 @@
         self._idle: list[HttpConnection] = []
 
     async def post(self, path: str, body: Any) -> HttpAnswer:
-        """Send a request once and return its answer.
+        """Send a request without retries and return the response.
 
         Raises
         ------
         NotSentError
-            If no connection could be had.
+            If no connection could be opened.
         ExchangeError
-            If no answer came; the request may or may not have taken effect.
+            If no response came; the request may or may not have taken effect.
         """
         connection = await self._connection()
         whole = False
@@ -241,12 +241,12 @@
             with trio.fail_after(self._connect_timeout_s):
                 return HttpConnection(await self._transport.connect(self._address))
         except trio.TooSlowError:
-            raise NotSentError(f"{self._address} took no connection in time") from None
+            raise NotSentError(f"connecting to {self._address} timed out") from None
         except ExchangeError as error:
             raise NotSentError(str(error)) from error
 
     async def aclose(self) -> None:
-        """Drop the connections that nobody uses."""
+        """Close the idle connections."""
         idle, self._idle = self._idle, []
         for connection in idle:
             await connection.aclose()
--- a/wharftiller/edges/http_server.py
+++ b/wharftiller/edges/http_server.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 with JSON on trio streams, parsed by httptools.
+"""HTTP/1.1 server for JSON on trio streams, parsed by httptools.
 
-One path for every edge (docs/design/http.md weighs others); it also runs in virtual time over a
-network in memory.
+Used by every HTTP interface (see docs/design/http.md). It also runs in virtual time over an
+in-memory network.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 READ_BYTES = 16_384
 MAX_PIPELINED = 32
 HEADER_TIMEOUT_S = 20.0
-"""Time a caller may take over one request once its first byte has come."""
+"""Limit of the pause between two reads of one request, in seconds."""
 
 
 @attrs.define(slots=True)
 class HttpRequest:
-    """One request as it came.
+    """One request.
 
     Attributes
     ----------
@@ -54,21 +54,21 @@
         Raises
         ------
         BadRequestError
-            If the body is not whole JSON.
+            If the body is not complete JSON.
         """
         try:
             return orjson.loads(self.body) if self.body else {}
         except orjson.JSONDecodeError as error:
             raise BadRequestError(
-                f"the body is not JSON: {error}. Send one whole JSON object"
+                f"the body is not JSON: {error}. Send one complete JSON object"
             ) from None
 
 
 COMPRESSED_FROM = 4_096
-"""Bodies of so many bytes are compressed where asked: two or three packets less pay for it."""
+"""Size from which bodies are compressed, in bytes: it saves at least two or three packets."""
 
 COMPRESSION_LEVEL = 1
-"""Least effort: a configuration of 2,000 routes shrinks to a tenth or less already."""
+"""Lowest effort of zlib."""
 
 
 @attrs.define(slots=True)
@@ -78,7 +78,7 @@
     Attributes
     ----------
     compressed : bool
-        Whether a large body is compressed; for clients of ours only.
+        Whether a large body is compressed; only for clients of this system.
     """
 
     status: int = 200
@@ -107,13 +107,13 @@
 
 
 def error_response(error: WharfError, *, close: bool = False) -> HttpResponse:
-    """Return the response that tells a client of ``error``."""
+    """Return the response that reports ``error`` to a client."""
     body = {"error": error.kind, "message": str(error)}
     return HttpResponse(error.status, body, close=close)
 
 
 class _RequestCollector:
-    """Gathers requests from the parser's callbacks."""
+    """Builds requests from the parser's callbacks."""
 
     def __init__(self) -> None:
         self.requests: list[HttpRequest] = []
@@ -148,14 +148,14 @@
         self._size += size
         if self._size > MAX_HEADER_BYTES:
             raise BodyTooLargeError(
-                f"the request's head passes {MAX_HEADER_BYTES} bytes. Shorten its path and headers"
+                f"the request's path and headers exceed {MAX_HEADER_BYTES} bytes. Shorten them"
             )
 
     def on_body(self, body: bytes) -> None:
         self._body_size += len(body)
         if self._body_size > MAX_BODY_BYTES:
             raise BodyTooLargeError(
-                f"the body passes {MAX_BODY_BYTES} bytes. Send less in one request"
+                f"the body exceeds {MAX_BODY_BYTES} bytes. Send less in one request"
             )
         self._body.append(body)
 
@@ -170,10 +170,9 @@
 
 
 async def serve_stream(stream: trio.abc.Stream, handler: HttpHandler) -> None:
-    """Answer the requests of one connection, in their order, until it closes.
+    """Answer the requests of one connection, in order, until it closes.
 
-    Between requests nothing but the stream is kept, so that idle connections
-    are cheap.
+    The parser is released between requests, so that idle connections need little memory.
     """
     reader: _RequestReader | None = None
     try:
@@ -195,7 +194,7 @@
 
 
 class _RequestReader:
-    """Reads whole requests out of bytes as they come."""
+    """Parses requests incrementally."""
 
     def __init__(self) -> None:
         self._collector = _RequestCollector()
@@ -212,19 +211,19 @@
         return method.decode("latin-1")
 
     def read(self, data: bytes) -> tuple[list[HttpRequest], WharfError | None]:
-        """Return the requests that ``data`` completes, and what is wrong with the rest."""
+        """Return the requests that ``data`` completes, and the error of the rest, if any."""
         error = _feed(self._parser, data)
         requests, self._collector.requests = self._collector.requests, []
         if len(requests) <= MAX_PIPELINED:
             return requests, error
-        message = f"{len(requests)} requests came at once; pipeline at most {MAX_PIPELINED}"
+        message = f"{len(requests)} requests were pipelined; send at most {MAX_PIPELINED} at once"
         return [], BadRequestError(message)
 
 
 async def _answer_all(
     stream: trio.abc.Stream, handler: HttpHandler, requests: list[HttpRequest]
 ) -> bool:
-    """Answer ``requests``; return whether the connection is to be closed."""
+    """Answer ``requests``; return whether to close the connection."""
     for request in requests:
         response = await _respond(handler, request)
         await stream.send_all(response.encode())
@@ -245,7 +244,7 @@
     try:
         parser.feed_data(data)
     except httptools.HttpParserUpgrade:
-        return BadRequestError("this server changes no protocols; send HTTP/1.1")
+        return BadRequestError("protocol upgrades are not supported; send HTTP/1.1")
     except httptools.HttpParserError as error:
         if isinstance(error.__context__, WharfError):
             return error.__context__
--- a/wharftiller/edges/leadership_json.py
+++ b/wharftiller/edges/leadership_json.py
@@ -1,4 +1,4 @@
-"""The record of leadership and log positions as JSON, for the platform and between boxes."""
+"""The leadership record as JSON, for the platform and between boxes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def record_to_json(record: LeadershipRecord) -> dict[str, Any]:
-    """Return the record as plain JSON, without its revision."""
+    """Return the record as JSON, without its revision."""
     return {
         "fence": record.fence,
         "holder": record.holder,
@@ -45,12 +45,12 @@
 
 
 def record_from_json(value: Any, revision: int) -> LeadershipRecord:
-    """Return the record that ``value`` holds.
+    """Decode a leadership record.
 
     Raises
     ------
     BadRequestError
-        If it is not such a record.
+        If ``value`` is not a valid record.
     """
     try:
         groups = {str(name): _group_from_json(each) for name, each in value["groups"].items()}
@@ -66,7 +66,7 @@
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise BadRequestError(
-            f"no record of leadership: {error!r}. Delete the object; boxes write it anew"
+            f"invalid leadership record: {error!r}. Delete the object; the boxes create it again"
         ) from None
 
 
--- a/wharftiller/edges/metrics_page.py
+++ b/wharftiller/edges/metrics_page.py
@@ -1,7 +1,7 @@
-"""The page of metrics, in the text format that common collectors read.
+"""The metrics page, in the Prometheus text format.
 
-The library is loaded when the page is first asked for, so that a box nobody
-collects from pays nothing for it.
+The Prometheus library is imported at the first request, so that a box that is not
+scraped does not load it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def metrics_page(metrics: SessionMetrics, gauges: Iterable[Gauge]) -> bytes:
-    """Return the page."""
+    """Return the metrics page."""
     from prometheus_client import CollectorRegistry, generate_latest
 
     registry = CollectorRegistry()
@@ -28,7 +28,7 @@
 
 
 class Gauge:
-    """A figure as it is now, by labels."""
+    """A gauge: its current values by label values."""
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
 
 
 class _Collector:
-    """Turns figures into metric families."""
+    """Converts the session metrics and gauges to metric families."""
 
     def __init__(self, metrics: SessionMetrics, gauges: Iterable[Gauge]) -> None:
         self._metrics = metrics
         self._gauges = gauges
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every metric."""
+        """Yield every metric family."""
         yield from self._counters()
         yield from self._histograms()
         for gauge in self._gauges:
@@ -71,7 +71,7 @@
         yield answers
         statements = CounterMetricFamily(
             f"{PREFIX}_endpoint_statements",
-            "Statements sent to endpoints, by what came of them.",
+            "Statements sent to endpoints, by outcome.",
             labels=("endpoint", "outcome"),
         )
         for pair, count in self._metrics.statements.items():
@@ -79,7 +79,7 @@
         yield statements
         forwarded = CounterMetricFamily(
             f"{PREFIX}_forwarded_statements",
-            "Statements passed to a group's home box, by what came of them.",
+            "Statements forwarded to a group's gateway box, by outcome.",
             labels=("home", "outcome"),
         )
         for pair, count in self._metrics.forwarded.items():
@@ -87,7 +87,7 @@
         yield forwarded
         allowances = CounterMetricFamily(
             f"{PREFIX}_allowances",
-            "Questions for tokens of workspaces' allowances, by what came of them.",
+            "Token requests for workspaces' allowances, by outcome.",
             labels=("outcome",),
         )
         for outcome, count in self._metrics.allowances.items():
@@ -95,7 +95,7 @@
         yield allowances
         doors = CounterMetricFamily(
             f"{PREFIX}_doors",
-            "Callers' connections, by what came of them at the door.",
+            "Callers' connections, by outcome of admission.",
             labels=("outcome",),
         )
         for outcome, count in self._metrics.doors.items():
@@ -104,7 +104,7 @@
         yield from self._connections()
         events = CounterMetricFamily(
             f"{PREFIX}_events",
-            "Logged events, those left out of the log included.",
+            "Events, including those suppressed in the log.",
             labels=("event",),
         )
         for event, count in self._metrics.events.items():
@@ -119,7 +119,7 @@
         )
         replaced = CounterMetricFamily(
             f"{PREFIX}_connections_replaced",
-            "Idle connections closed for another workspace's.",
+            "Idle connections closed to open one for another workspace.",
             labels=("endpoint",),
         )
         for endpoint, counts in self._metrics.connections.items():
--- a/wharftiller/edges/peers.py
+++ b/wharftiller/edges/peers.py
@@ -1,4 +1,4 @@
-"""The edge between the system's own processes: configuration, boxes, notices."""
+"""Messages between this system's own processes: configuration, boxes, primaries."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 @attrs.frozen
 class ConfigurationRequest:
-    """What a proxy or steward asks a steward.
+    """A request of a proxy or steward for a steward's configuration.
 
     Attributes
     ----------
     box : str
-        The box that asks.
+        The requesting box.
     generation : int
-        The generation it has in force.
+        The generation in force on it.
     wait_ms : int
-        How long the answer may wait for a newer one.
+        How long the reply may wait for a newer generation, in milliseconds.
     in_force : dict of str to int
-        Generations that the asker knows to be in force, by box.
+        Generations known to the requester to be in force, by box.
     """
 
     box: str
@@ -40,14 +40,14 @@
 
 @attrs.frozen
 class ConfigurationReply:
-    """What a steward answers.
+    """A steward's reply to a `ConfigurationRequest`.
 
     Attributes
     ----------
     change : ConfigurationChange or None
-        None when the asker is up to date.
+        None if the requester is up to date.
     boxes : list of BoxEntry
-        The platform's list as the steward knows it.
+        The platform's list of boxes, as last received by the steward.
     list_age_s : float or None
         Time since a relay read it from the platform, in seconds; None if never.
     """
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class PrimaryNotice:
-    """Who leads a group."""
+    """Announces a group's primary."""
 
     group: str
     term: int
@@ -67,7 +67,7 @@
 
 
 def check_peer(request: HttpRequest, keys: KeyRing) -> None:
-    """Verify that a request comes from one of our own processes.
+    """Verify that a request comes from a process of this system.
 
     Raises
     ------
@@ -78,19 +78,19 @@
 
 
 def reply(value: object) -> HttpResponse:
-    """Return the response that carries a message."""
+    """Return the response with ``value`` as JSON."""
     return HttpResponse(200, to_json(value))
 
 
 class PeerClient:
-    """Calls to another of our processes."""
+    """Client of another process of this system."""
 
     def __init__(self, transport: Transport, address: str, keys: KeyRing) -> None:
         self._client = HttpClient(transport, address)
         self._headers = bearer_header(keys.mint(PEER, PEER))
 
     async def ask_configuration(self, question: ConfigurationRequest) -> ConfigurationReply:
-        """Ask a steward for what is newer than ``question.generation``.
+        """Request what is newer than ``request.generation`` from a steward.
 
         Raises
         ------
@@ -107,7 +107,7 @@
         return from_peer(answer.json(), ConfigurationReply)
 
     async def notice_primary(self, notice: PrimaryNotice) -> None:
-        """Tell a proxy who leads a group.
+        """Announce a group's primary to a proxy.
 
         Raises
         ------
--- a/wharftiller/edges/platform.py
+++ b/wharftiller/edges/platform.py
@@ -1,4 +1,4 @@
-"""The platform's edge: objects with versions, conditional updates, watches, boxes."""
+"""Client of the platform: versioned objects, conditional updates, watches, boxes."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 @attrs.frozen
 class StoredObject:
-    """An object as the platform keeps it.
+    """An object of the platform.
 
     Attributes
     ----------
     version : int
-        Raised by every update; 0 means "does not exist".
+        Increases with every update; 0 means that the object does not exist.
     attempt : str
         Id of the update that wrote it.
     """
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class BoxEntry:
-    """One box of the platform's lagging list."""
+    """One box of the platform's list, which lags behind."""
 
     name: str
     data_centre: str
@@ -48,31 +48,31 @@
 
 
 class ConflictError(WharfError):
-    """An object has another version than the update was made for."""
+    """An object is at another version than the update expects."""
 
     kind = "conflict"
     status = 409
 
     def __init__(self, key: str, expected: int, found: int) -> None:
         super().__init__(
-            f"object {key!r} is at version {found}, the update was made for {expected}. "
-            "Read it again and decide anew"
+            f"object {key!r} is at version {found}, the update expects {expected}. "
+            "Read it again and retry"
         )
         self.found = found
 
 
 def new_attempt() -> str:
-    """Return an id never used for another update."""
+    """Return a unique id for an update."""
     return uuid.uuid4().hex
 
 
 class PlatformClient:
-    """Calls to the platform; each raises `PlatformUnavailableError` when it is away.
+    """Client of the platform; calls raise `PlatformUnavailableError` while it is unavailable.
 
     Parameters
     ----------
     count : callable
-        Told the name of every call made, for metrics.
+        Called with the name of every call, for metrics.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         return from_peer(answer.json(), list[StoredObject])
 
     async def delete(self, key: str) -> None:
-        """Delete an object that nothing refers to any more; a failure leaves it behind."""
+        """Delete an unreferenced object; it stays if the platform is unavailable."""
         try:
             await self._call("DELETE", f"/objects/{quote(key)}")
         except PlatformUnavailableError:
@@ -105,7 +105,7 @@
         return from_peer(answer.json(), list[BoxEntry])
 
     async def watch(self, key: str, after: int, wait_s: float) -> StoredObject | None:
-        """Return the object once its version passes ``after``; None if it did not in time."""
+        """Return the object once its version exceeds ``after``; None after ``wait_s`` seconds."""
         self._count("platform.watch")
         path = f"/watch/{quote(key)}?after={after}&wait_ms={round(wait_s * 1000)}"
         answer = await self._exchange(self._watcher, "GET", path, None, wait_s + CALL_TIMEOUT_S)
@@ -116,15 +116,15 @@
     ) -> StoredObject:
         """Write an object that is at ``if_version`` (0: that does not exist).
 
-        An update whose answer is lost is sent again; when that conflicts, the
-        object is read back and its attempt id tells whose update took effect.
+        An update whose response is lost is retried; if that conflicts, the object
+        is read back, and its attempt id shows whether this update took effect.
 
         Raises
         ------
         ConflictError
             If the object is at another version.
         PlatformUnavailableError
-            If it stays unknown; asking again with the same attempt is safe.
+            If the outcome stays unknown; a retry with the same attempt is safe.
         """
         attempt = attempt or new_attempt()
         body = {"value": value, "if_version": if_version, "attempt": attempt}
@@ -141,7 +141,7 @@
         raise AssertionError("unreachable")
 
     async def _own_earlier_update(self, key: str, if_version: int, attempt: str) -> StoredObject:
-        """Return the object if this attempt wrote it, its answer having been lost."""
+        """Return the object if this attempt wrote it and the response was lost."""
         written = await self.read(key)
         if written is not None and written.attempt == attempt:
             return written
@@ -160,7 +160,7 @@
             raise PlatformUnavailableError(f"the platform did not answer: {error}") from None
         if answer.status == 429 or answer.status >= 500:
             raise PlatformUnavailableError(
-                f"the platform answered {answer.status} to {method}; it is over its rate or away. "
-                "Try again shortly"
+                f"the platform answered {answer.status} to {method}; its rate limit is exceeded or it is "
+                "unavailable. Try again shortly"
             )
         return answer
--- a/wharftiller/edges/transport.py
+++ b/wharftiller/edges/transport.py
@@ -1,4 +1,4 @@
-"""Byte streams to and from other processes; tests put a network in memory in its place."""
+"""Byte streams to and from other processes; tests replace them by an in-memory network."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 KEEPALIVE_IDLE_S = 120
 
 CLOSED = -1
-"""Descriptor of a closed socket."""
+"""File descriptor of a closed socket."""
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Lingering for no time: closing resets the connection."""
+"""Linger time of 0 s: closing resets the connection."""
 
 
 class Transport(Protocol):
-    """Opens and accepts streams by ``ip:port``."""
+    """Opens and accepts streams at addresses ``ip:port``."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
         """Open a stream.
@@ -33,14 +33,14 @@
         Raises
         ------
         ExchangeError
-            If nobody listens there.
+            If the address cannot be reached.
         """
         ...
 
     async def serve(
         self, address: str, handler: Handler, task_status: trio.TaskStatus[str]
     ) -> None:
-        """Accept streams for ever; reports the address that was bound."""
+        """Accept streams until cancelled; report the bound address to ``task_status``."""
         ...
 
 
@@ -50,7 +50,7 @@
     Raises
     ------
     ValueError
-        If it is not an IP number and a port; the message names the remedy.
+        If it is not an IP address and a port; the message shows the expected form.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -75,7 +75,7 @@
         try:
             sock = trio.socket.socket(family)
         except OSError as error:
-            # Descriptors have run out; the caller goes on as if nobody answered.
+            # Out of file descriptors: handled like an unreachable address.
             raise ExchangeError(f"no socket for {address}: {error.strerror}") from error
         try:
             await sock.connect((host, port))
@@ -90,7 +90,7 @@
     async def serve(
         self, address: str, handler: Handler, task_status: trio.TaskStatus[str]
     ) -> None:
-        """Accept TCP streams on ``ip:port``; port 0 picks a free one."""
+        """Accept TCP streams at ``ip:port``; port 0 picks a free one."""
         host, port = split_address(address)
         listeners = await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
         bound = listeners[0].socket.getsockname()
@@ -105,9 +105,9 @@
 
 
 class CountedTransport:
-    """Streams of another transport, counted while they are open.
+    """Wraps a transport and counts its open streams.
 
-    A stream that was opened here counts until nobody keeps it any more.
+    A stream opened by `connect` counts until it is garbage-collected.
     """
 
     def __init__(self, transport: Transport) -> None:
@@ -117,11 +117,11 @@
 
     @property
     def open_streams(self) -> int:
-        """Streams open now, whichever side opened them."""
+        """Number of open streams, opened or accepted."""
         return len(self._connected) + self._accepted
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Open a stream; raises as the other transport does."""
+        """Open a stream; raises like the wrapped transport."""
         stream = await self._transport.connect(address)
         self._connected.add(stream)
         return stream
@@ -129,7 +129,7 @@
     async def serve(
         self, address: str, handler: Handler, task_status: trio.TaskStatus[str]
     ) -> None:
-        """Accept streams for ever; reports the address that was bound."""
+        """Accept streams until cancelled; report the bound address to ``task_status``."""
 
         async def counted(stream: trio.abc.Stream) -> None:
             self._accepted += 1
@@ -142,22 +142,22 @@
 
 
 def _find_dead_peers(stream: trio.SocketStream) -> None:
-    """Have the kernel close a connection whose other side has vanished."""
+    """Have the kernel close connections to peers that no longer respond."""
     stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_KEEPALIVE, 1)
     stream.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
 
 
 async def close_now(stream: trio.abc.AsyncResource) -> None:
-    """Close ``stream`` without waiting for the other side.
+    """Close ``stream`` without waiting for the peer.
 
-    A TCP stream is reset: what a cut holds up on the way must not arrive once it
-    heals, when nobody waits for an answer any more.
+    A TCP stream is reset, so that data held up by a network partition is not delivered
+    after it heals.
     """
     reset_on_close(stream)
     await trio.aclose_forcefully(stream)
 
 
 def reset_on_close(stream: trio.abc.AsyncResource) -> None:
-    """Have a TCP stream that is still open be reset when it is closed."""
+    """Make a later close of a TCP stream reset it."""
     if isinstance(stream, trio.SocketStream) and stream.socket.fileno() != CLOSED:
         stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, RESET_ON_CLOSE)
--- a/wharftiller/platform/__init__.py
+++ b/wharftiller/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the platform on which wharftiller runs; nothing outside knows its names."""
+"""Adapter to the platform on which wharftiller runs; its names are used only here."""
--- a/wharftiller/platform/__main__.py
+++ b/wharftiller/platform/__main__.py
@@ -33,22 +33,22 @@
 """Environment variable that names the settings file."""
 
 DEFAULT_SETTINGS = "/etc/wharftiller/settings.json"
-"""The settings file where the variable names none."""
+"""Path of the settings file where the variable is unset."""
 
 BAD_SETTINGS = 2
 """Exit status when the settings cannot be used."""
 
 READY_PATH = "/v1/readiness"
-"""Where the platform's balancer asks whether this process takes new sessions."""
+"""Path at which the platform's load balancer checks whether to send new sessions here."""
 
 
 class PlatformProcess:
-    """Composes the session proxy with the platform's edges.
+    """Runs the session proxy with the platform's adapters.
 
     Parameters
     ----------
     path : str
-        Where the settings were read, to check them again when they change.
+        Path of the settings file, checked again on SIGHUP.
     """
 
     def __init__(
@@ -57,18 +57,18 @@
         self._settings = settings
         self._path = path
         self._log = log
-        # Callers come over the transport itself: the door counts them.
+        # Callers' connections are not counted here; connection admission counts them.
         self._callers = transport
         self._transport = CountedTransport(transport)
         self.proxy: SessionProxy | None = None
 
     async def run(self) -> None:
-        """Serve until a signal says to stop."""
+        """Serve until SIGTERM or SIGINT."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             await self.serve(lambda: self._take_signals(signals))
 
     async def serve(self, told_to_stop: Callable[[], Awaitable[None]]) -> None:
-        """Serve until ``told_to_stop`` returns and what was taken is answered."""
+        """Serve until ``wait_for_stop`` returns and accepted statements are answered."""
         settings = self._settings
         async with trio.open_nursery() as nursery:
             proxy = self.proxy = self._compose(nursery)
@@ -122,7 +122,7 @@
             self._reload()
 
     def _reload(self) -> None:
-        """Check the settings again; what they name is bound to the process's life."""
+        """Check the settings file and log the result; changes apply at the next start only."""
         try:
             changed = load_settings(self._path) != self._settings
         except WharfError as error:
@@ -135,7 +135,7 @@
             try:
                 await serve_stream(stream, handler)
             except Exception as error:
-                # A fault in one answer must not end the process.
+                # An error in one handler must not end the process.
                 self._log.change("answer_failed", why=repr(error))
 
         return serve
--- a/wharftiller/platform/callers.py
+++ b/wharftiller/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections over the platform's line protocol."""
+"""Server of callers' connections, over the platform's line protocol."""
 
 from __future__ import annotations
 
@@ -30,28 +30,28 @@
     from wharftiller.daemons.sessions.serving.connection_admission import CallerConnection
 
 GREETING_TIMEOUT_S = 5.0
-"""Time a caller may take to name its database, in seconds."""
+"""Time limit for a caller's greeting, in seconds."""
 
 REFUSED_GREETING_S = 0.3
-"""Time that a caller for whom there is no room has to speak, in seconds."""
+"""Time limit for the greeting of a caller that is refused for lack of capacity, in seconds."""
 
 MAX_BEING_REFUSED = 32
-"""Callers waited for before they are refused; beyond it they are closed without a word, so that a
-crowd takes few descriptors from the box."""
+"""Number of refused callers whose greeting is awaited at once. Beyond it connections are closed
+without a refusal, so that a load peak takes few file descriptors."""
 
 CONFIGURATION_WAIT_S = 1.5
-"""Time a new session waits for the first configuration, in seconds: callers wait 2 s."""
+"""Time a new session waits for the first configuration, in seconds; callers time out after 2 s."""
 
 
 class LineChannel:
-    """One caller's connection, decoded."""
+    """Statements and replies of one caller's connection."""
 
     def __init__(self, stream: trio.abc.Stream, reader: LineReader) -> None:
         self._stream = stream
         self._reader = reader
 
     async def receive(self) -> Statement | None:
-        """Return the next statement, or None when the caller has left."""
+        """Return the next statement; None when the caller has closed the session."""
         line = await self._reader.line()
         if line is None or line == b"RELEASE":
             return None
@@ -61,12 +61,12 @@
             return Statement(OWN_ID, decode(line), Malformed(str(error)))
 
     async def send(self, reply: Reply) -> None:
-        """Send the answer to the last statement."""
+        """Send the reply to the last statement."""
         await self._stream.send_all(encode_reply(reply))
 
 
 class CallerServer:
-    """Serves callers' connections, as many at once as the box has room for."""
+    """Serves callers' connections within the box's connection limit."""
 
     def __init__(self, proxy: SessionProxy) -> None:
         self._proxy = proxy
@@ -86,13 +86,16 @@
         except BodyTooLargeError as error:
             await self._refuse(stream, RefusalKind.TOO_LARGE, str(error))
         except Exception as error:
-            # A fault in one session must not end the others'.
+            # An error in one session must not end the others.
             self._proxy.state.log.change("session_failed", why=repr(error))
         finally:
             self._proxy.door.leave(caller)
 
     async def _refuse_full(self, stream: trio.abc.Stream, reader: LineReader) -> None:
-        """Refuse a caller once it has spoken: closing before that resets what it is told."""
+        """Refuse a caller after its greeting.
+
+        Closing a connection with unread data resets it, and the refusal would be lost.
+        """
         if self._being_refused >= MAX_BEING_REFUSED:
             return
         self._being_refused += 1
--- a/wharftiller/platform/endpoints.py
+++ b/wharftiller/platform/endpoints.py
@@ -36,7 +36,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether nothing unexpected has come on it; the endpoint may have closed it."""
+        """Whether no unexpected bytes arrived; the endpoint may still have closed it."""
         if self._reader.buffered:
             return False
         if isinstance(self._stream, trio.SocketStream):
@@ -44,20 +44,20 @@
         return True
 
     async def ask(self, queries: Sequence[EndpointQuery]) -> list[Reply]:
-        """Send statements in one write; return their replies in order."""
+        """Send statements in one write and return their replies in order."""
         try:
             await self._stream.send_all(b"".join(encode_query(query) for query in queries))
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise ExchangeError(f"the connection to the endpoint broke: {error}") from None
+            raise ExchangeError(f"the connection to the endpoint was lost: {error}") from None
         return [await read_reply(self._reader) for _ in queries]
 
     async def status(self) -> EndpointStatus | None:
-        """Return the endpoint's state, or None if it is too busy to tell."""
+        """Request the endpoint's status; None if it is too busy to report it."""
         (reply,) = await self.ask([EndpointQuery(StatusQuery())])
         return parse_status(reply)
 
     def close(self) -> None:
-        """Close at once; what a cut holds up on the way is lost with it."""
+        """Close at once; data held up by a network partition is discarded."""
         if isinstance(self._stream, trio.SocketStream):
             reset_on_close(self._stream)
             self._stream.socket.close()
@@ -71,7 +71,7 @@
     Parameters
     ----------
     caller : str
-        What this box calls itself to endpoints, on connections that are no workspace's.
+        Name in the greeting of connections that belong to no workspace.
     """
 
     def __init__(self, transport: Transport, caller: str) -> None:
@@ -81,7 +81,7 @@
     async def open(
         self, entry: EndpointEntry, via: str | None = None, workspace: str = ""
     ) -> LineConnection:
-        """Open a connection and have the endpoint confirm who it is."""
+        """Open a connection and have the endpoint confirm its identity."""
         if via is None:
             stream = await self._transport.connect(entry.address)
         else:
@@ -102,7 +102,7 @@
         try:
             await stream.send_all(greeting.encode())
         except trio.BrokenResourceError as error:
-            raise ExchangeError(f"{entry.name} broke the new connection: {error}") from None
+            raise ExchangeError(f"{entry.name} reset the new connection: {error}") from None
         line = await reader.line()
         if line is None:
             raise ExchangeError(f"{entry.name} closed the new connection")
--- a/wharftiller/platform/objects.py
+++ b/wharftiller/platform/objects.py
@@ -1,4 +1,4 @@
-"""What the platform's objects say, decoded once: configuration, endpoints, boxes, the record."""
+"""The platform's objects: configuration, endpoints, boxes and the leadership record."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
-"""The operator's configuration is one object."""
+"""Kind and name of the object with the operator's configuration."""
 
 ENDPOINT_KIND = "servers"
 """Kind of the objects by which endpoints register themselves."""
@@ -51,74 +51,74 @@
 LEAVES = "draining"
 ENDPOINT_ROLES = frozenset({LEADS, "replica"})
 ENDPOINT_STATES = frozenset({"ready", LEAVES})
-"""Words by which endpoints say what they are."""
+"""Values of an endpoint's role and state."""
 
 STARTED_FIELD = "born"
-"""Where an endpoint says when its process started, in milliseconds of the Unix clock."""
+"""Field with the start time of an endpoint's process, in milliseconds of Unix time."""
 
 OWN_KIND = "wharftiller"
-"""Kind of everything that boxes keep."""
+"""Kind of the objects that boxes write."""
 
 RECORD_NAME = "leadership"
-"""Name of the record of leadership."""
+"""Name of the object with the leadership record."""
 
 ERA_FIELD = "era"
-"""Field of the record that names the platform's era in which it was written."""
+"""Field of the leadership record: era of the platform's store in which it was written."""
 
 BOX_PREFIX = "box."
-"""Goes before a box's name in the name of its entry."""
+"""Prefix of a box's name in the name of its object."""
 
 AFTER_BOXES = "box/"
-"""Follows the name of every box's entry and goes before the record's: lists are in the order
-of names."""
+"""Sorts after the names of all boxes' objects and before the leadership record's: lists are sorted
+by name."""
 
 DEFAULT_TIMEOUT_MS = 2_000
-"""A statement's time-out where a route names none, in milliseconds: as long as callers wait
-for a session to open."""
+"""Statement timeout of a route that sets none, in milliseconds: the time that callers wait for a
+session to open."""
 
 DEFAULT_GOAL_MS = 500
-"""A route's latency goal where it names none, in milliseconds: a quarter of the time-out."""
+"""Latency goal of a route that sets none, in milliseconds."""
 
 DEFAULT_PRIORITY = 2
-"""Priority of a route that names none: after those that name 0 or 1."""
+"""Priority of a route that sets none; a lower number comes first."""
 
 DEFAULT_TX_IDLE_MS = 3_000
-"""How long a transaction may rest where no limit is named, in milliseconds."""
+"""Idle limit of transactions where the configuration sets none, in milliseconds."""
 
 
 KEYS_FIELD = "ApiKeys"
-"""Where the operator's document lists a workspace's keys, which are secrets."""
+"""Field of the operator's document with a workspace's keys, which are secret."""
 
 DIGESTS_FIELD = "KeyDigests"
-"""Where a document that boxes hand one another lists the keys' digests instead."""
+"""Field that replaces `KEYS_FIELD` in the documents that boxes send each other."""
 
 
 class EndpointNotUnderstoodError(WharfError):
-    """An entry among the endpoints' that names none."""
+    """An object of the endpoints' kind that does not describe an endpoint."""
 
     kind = "endpoint_not_understood"
 
 
 def decode_configuration(document: Any, *, needs_workspaces: bool = False) -> SessionConfiguration:
-    """Return the configuration that the operator's document, or another box's copy, holds.
+    """Decode the configuration from the operator's document or another box's copy of it.
 
     Parameters
     ----------
     needs_workspaces : bool
-        Whether a document that lists no workspaces is refused.
+        Whether a document without workspaces is invalid.
 
     Raises
     ------
     ConfigurationError
-        If it lacks something; the message tells no key.
+        If the document is invalid; the message contains no key.
     """
     try:
         return _decode_configuration(document, needs_workspaces)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        # Of a value that is no number the error would tell the value.
+        # The text of a ValueError contains the value, which may be a secret.
         why = f"no {error}" if isinstance(error, KeyError) else type(error).__name__
         raise ConfigurationError(
-            f"the configuration is not as the platform describes it: {why}; write it anew"
+            f"invalid configuration document: {why}; correct it as the platform describes it"
         ) from None
 
 
@@ -139,7 +139,7 @@
 
 
 def _tenant(value: Any) -> dict[str, Any]:
-    """Return what the document says of a workspace, with digests in place of keys."""
+    """Return a workspace of the document with its keys replaced by their digests."""
     kept = {name: field for name, field in value.items() if name != KEYS_FIELD}
     if KEYS_FIELD in value:
         kept[DIGESTS_FIELD] = [digest_of_key(str(key)) for key in value[KEYS_FIELD]]
@@ -147,7 +147,7 @@
 
 
 def _workspaces(tenants: list[dict[str, Any]]) -> WorkspaceDirectory:
-    """Return the directory; the platform calls a workspace a tenant."""
+    """Return the directory of workspaces, which the platform calls tenants."""
     return WorkspaceDirectory((_workspace(each), each[DIGESTS_FIELD]) for each in tenants)
 
 
@@ -169,7 +169,7 @@
 def _route(value: Any) -> Route:
     return Route(
         name=str(value["Name"]),
-        # The platform calls the database's name a host.
+        # "Host" is the platform's name for the database.
         database=str(value["Host"]),
         group=str(value["Service"]),
         consistency=_consistency(value),
@@ -188,21 +188,21 @@
         case "read_own_writes":
             return OwnWritesReads(age_s)
         case _:
-            # The strictest reading is right for every kind.
+            # The strictest consistency satisfies unknown kinds too.
             return PrimaryReads()
 
 
 def decode_endpoint(stored: StoredObject, bounds: PlatformBounds) -> EndpointEntry:
-    """Return the endpoint that registered itself in ``stored``.
+    """Decode the object of an endpoint.
 
     Raises
     ------
     EndpointNotUnderstoodError
-        If the entry lacks something or holds something else: another writer's names no endpoint.
+        If a field is missing or invalid.
     """
     spec = stored.spec
     if not isinstance(spec, dict):
-        raise EndpointNotUnderstoodError("it holds no fields")
+        raise EndpointNotUnderstoodError("it is not a table of fields")
     address = _text(spec, "Address")
     try:
         split_address(address)
@@ -224,7 +224,7 @@
 def _text(spec: dict[str, Any], name: str) -> str:
     value = spec.get(name)
     if not isinstance(value, str) or not value:
-        raise EndpointNotUnderstoodError(f"its {name} is no text")
+        raise EndpointNotUnderstoodError(f"its {name} is missing or not a text")
     return value
 
 
@@ -236,7 +236,7 @@
 
 
 def _started_ms(spec: dict[str, Any]) -> int | None:
-    """Return when the endpoint's process started; None if it does not say so."""
+    """Return when the endpoint's process started; None if it is not reported."""
     value = spec.get(STARTED_FIELD)
     if value is None:
         return None
@@ -246,7 +246,7 @@
 
 
 class EndpointDecoder:
-    """Decodes lists of endpoints; what cannot be understood is said once."""
+    """Decodes lists of endpoints; logs each invalid object once per revision."""
 
     def __init__(self, bounds: PlatformBounds, log: DecisionLog) -> None:
         self._bounds = bounds
@@ -254,7 +254,7 @@
         self._said: dict[str, int] = {}
 
     def decode(self, objects: dict[str, StoredObject]) -> list[EndpointEntry]:
-        """Return every endpoint that can be understood; the others hold nobody up."""
+        """Return the valid endpoints; invalid ones are logged and skipped."""
         entries = []
         for stored in objects.values():
             try:
@@ -271,7 +271,7 @@
 
 
 class SharedPlatformObjects:
-    """The boxes' list and the record of leadership, kept as objects of one kind."""
+    """The list of boxes and the leadership record, stored as objects of one kind."""
 
     def __init__(self, store: ObjectStore, log: DecisionLog) -> None:
         self._store = store
@@ -280,11 +280,11 @@
         self._is_calm = False
 
     async def read(self) -> PlatformSnapshot:
-        """Read everything as it stands now.
+        """Read the current snapshot.
 
-        While nothing changes only the record is listed, whose answer tells the platform's
-        revision: where that is the last list's, no entry has changed, and the bytes of all
-        entries need not cross between data centres.
+        After two lists without a change only the leadership record is listed. Its response has
+        the platform's revision: if that is unchanged, the last snapshot is still valid, which
+        saves the transfer of all boxes' objects between data centres.
         """
         last = self._last
         if last is not None and self._is_calm:
@@ -326,14 +326,14 @@
             record = record_from_json(stored.spec, stored.revision)
         except BadRequestError as error:
             raise PlatformUnavailableError(str(error)) from error
-        # Written in an era before this one, it may be older than what was acknowledged then.
+        # A record of an earlier era may be older than an update acknowledged in that era.
         written_in = stored.spec.get(ERA_FIELD)
         era = era_of(stored.revision)
         is_confirmed = written_in is None or written_in == era
         return attrs.evolve(record, is_confirmed=is_confirmed, era=era)
 
     async def register(self, box: Box) -> None:
-        """Put ``box`` into the list, or its new process in its place."""
+        """Add ``box`` to the list, or replace the entry of its former process."""
         name = BOX_PREFIX + box.name
         spec = attrs.asdict(box)
         stands = await self._store.put(OWN_KIND, name, spec, 0)
@@ -341,17 +341,17 @@
             await self._store.put(OWN_KIND, name, spec, None)
 
     async def retire(self, box: Box, by: str) -> None:
-        """Mark a box as dead."""
+        """Write a box's tombstone."""
         await self._store.put(
             OWN_KIND, BOX_PREFIX + box.name, attrs.asdict(attrs.evolve(box, retired=by)), None
         )
 
     async def withdraw(self, box: Box) -> None:
-        """Take ``box`` out of the list."""
+        """Remove ``box`` from the list."""
         await self._store.delete(OWN_KIND, BOX_PREFIX + box.name)
 
     async def replace_record(self, record: LeadershipRecord) -> LeadershipRecord:
-        """Replace the record of ``record.revision``; return what stands there afterwards."""
+        """Replace the record if it is at ``record.revision``; return the one then stored."""
         spec = {**record_to_json(record), ERA_FIELD: self._store.era}
         stands = await self._store.put(OWN_KIND, RECORD_NAME, spec, record.revision)
         return self._record(stands)
--- a/wharftiller/platform/promotions.py
+++ b/wharftiller/platform/promotions.py
@@ -1,4 +1,4 @@
-"""Promotions, ordered as the platform's singleton duty."""
+"""Promotions of endpoints through the platform's cloud API."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
     from wharftiller.edges.transport import Transport
 
 PROMOTION_TIMEOUT_S = 1.5
-"""Time for the call, in seconds; it answers at once and takes effect 0.3 to 0.6 s later."""
+"""Time limit of the call, in seconds; the reply does not wait for the promotion's effect."""
 
 
 class PlatformPromotions:
-    """Orders promotions; every call names its holder and fence."""
+    """Orders promotions; every call carries the holder of the leadership record and its fence."""
 
     def __init__(self, transport: Transport, address: str) -> None:
         self._transport = transport
         self._address = address
 
     async def promote(self, group: str, endpoint: str, holder: str, fence: int) -> bool:
-        """Have ``endpoint`` take over ``group``; False if it is not running."""
-        # A connection of its own: whatever is left of a call that gets no answer goes with it.
+        """Order ``endpoint`` to become ``group``'s primary; False if it is not running."""
+        # A separate connection, closed with the call: an unanswered call leaves nothing behind.
         client = HttpClient(self._transport, self._address)
         try:
             answer = await client.request(
--- a/wharftiller/platform/settings.py
+++ b/wharftiller/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded."""
+"""Decoding of the platform's settings file."""
 
 from __future__ import annotations
 
@@ -15,50 +15,50 @@
 from wharftiller.core.sessions.connection_limits import BoxLimits
 
 METRICS_PORT = 9464
-"""Port of the page of metrics; deploy/system.toml names it to the platform."""
+"""Port of the metrics page; declared to the platform in deploy/system.toml."""
 
 KEPT_FOR_FILES = 200
-"""Descriptors that the platform keeps for files, out of `MaxFds`."""
+"""File descriptors out of `MaxFds` that are reserved for files."""
 
 LONGEST_BOUND_S = 3600.0
-"""A bound of an hour or more is taken for a mistake in its unit, in seconds."""
+"""Exclusive limit of a bound, in seconds; a longer one is probably given in a wrong unit."""
 
 MS = 0.001
-"""One of the platform's milliseconds, in seconds."""
+"""One millisecond, in seconds."""
 
 MIN_QUOTA_WINDOW_S = 0.1
-"""A shorter window for counting operations is taken for a mistake in its unit, in seconds."""
+"""Minimum of `QuotaWindowS`, in seconds; a shorter one is probably given in a wrong unit."""
 
 
 class PlatformSettingsError(WharfError):
-    """The settings file lacks something or holds something unusable."""
+    """The settings file is unreadable, or a field is missing or invalid."""
 
     kind = "bad_settings"
 
 
 @attrs.frozen
 class ProcessSettings:
-    """What this process needs of the settings file.
+    """The settings that this process uses.
 
     Attributes
     ----------
     callers, ready, boxes : str
-        Addresses on which this process listens: for callers' sessions, for the
-        balancer's questions, for other boxes.
+        Addresses on which this process listens for callers' sessions, the load
+        balancer's readiness checks and other boxes.
     relay : str
-        Address on which it connects other boxes to endpoints.
+        Address on which it relays other boxes' connections to endpoints.
     metrics : str
-        Address of the page of metrics.
+        Address of the metrics page.
     store, duties : str
-        Addresses of the platform's objects and of its singleton duties.
+        Addresses of the platform's object store and cloud API.
     bounds : PlatformBounds
-        What the platform promises and asks.
+        Time limits and quota limits set by the platform.
     first_start : bool
         Whether the whole deployment starts for the first time.
     limits : BoxLimits
-        What this process may use.
+        Resource limits of this process.
     needs_workspaces : bool
-        Whether callers are served only with a workspace's key.
+        Whether callers need a workspace's key.
     """
 
     box: str
@@ -78,14 +78,14 @@
 
 
 def _limits(value: dict[str, Any], path: str) -> BoxLimits:
-    """Return what this process may use; what is not stated is as usual.
+    """Return the resource limits; missing ones get their defaults.
 
     Raises
     ------
     PlatformSettingsError
-        If a limit is no number above 0.
+        If a limit is not a number above 0.
     TooFewDescriptorsError
-        If it cannot work within them.
+        If the process needs more file descriptors.
     """
     defaults = BoxLimits()
 
@@ -97,7 +97,7 @@
         if not is_number or not 0 < given < math.inf:
             raise PlatformSettingsError(
                 f"{path}: Limits.{name} is {given!r}; give a number above 0, as the platform"
-                f" states it"
+                f" documents it"
             )
         return float(given)
 
@@ -111,7 +111,7 @@
 
 
 def _bounds(value: dict[str, Any], path: str) -> PlatformBounds:
-    """Return the bounds; those of the contracts in force must be stated, and make sense."""
+    """Return the bounds; those of the contracts in force are required."""
     contracts = value.get("Contracts") or ()
     stated = value["Bounds"]
     defaults = PlatformBounds()
@@ -125,13 +125,13 @@
             most = LONGEST_BOUND_S / unit_s
             raise PlatformSettingsError(
                 f"{path}: Bounds.{name} is {given!r}; give a number above 0 and below {most:.0f},"
-                f" as the platform states it"
+                f" as the platform documents it"
             )
         return float(given * unit_s)
 
     return PlatformBounds(
         grace_s=seconds("GraceS", True, 1.0, defaults.grace_s),
-        # How long a leaving endpoint goes on serving; the platform calls it draining.
+        # How long a leaving endpoint still serves; the platform calls this draining.
         leaving_serves_s=seconds("DrainMs", "drain" in contracts, MS, defaults.leaving_serves_s),
         configuration_in_force_s=seconds(
             "ConfigApplyMs", "config" in contracts, MS, defaults.configuration_in_force_s
@@ -141,7 +141,7 @@
 
 
 def _allowance_bounds(value: dict[str, Any], needed: bool, path: str) -> AllowanceBounds:
-    """Return what counts as more than an allowance; the platform calls that a quota."""
+    """Return the bounds of allowances, which the platform calls quotas."""
     stated = value["Bounds"]
     defaults = AllowanceBounds()
 
@@ -152,16 +152,16 @@
         if not isinstance(given, int | float) or isinstance(given, bool) or given < least:
             raise PlatformSettingsError(
                 f"{path}: Bounds.{name} is {given!r}; give a number of {least:g} or more, as the"
-                f" platform states it"
+                f" platform documents it"
             )
         return float(given)
 
     centres = tuple(sorted(map(str, value.get("Zones") or ())))
     if needed and value["Zone"] not in centres:
-        # Each data centre grants its part: one that is not counted would let too much run.
+        # Each data centre grants its share: an unlisted one would exceed the allowance.
         raise PlatformSettingsError(
             f"{path}: Zones lists {', '.join(centres) or 'nothing'}; list every data centre,"
-            f" this box's {value['Zone']} among them, as the platform states it"
+            f" this box's {value['Zone']} among them, as the platform documents it"
         )
     return AllowanceBounds(
         window_s=number("QuotaWindowS", MIN_QUOTA_WINDOW_S, defaults.window_s),
@@ -172,18 +172,18 @@
 
 
 def load_settings(path: str) -> ProcessSettings:
-    """Return the settings of ``path``.
+    """Return the settings in the file ``path``.
 
     Raises
     ------
     PlatformSettingsError
-        If the file cannot be read or lacks a field; the message names it.
+        If the file cannot be read, or a field is missing or invalid; the message names it.
     """
     try:
         value: dict[str, Any] = orjson.loads(Path(path).read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
         raise PlatformSettingsError(
-            f"{path} holds no settings: {error}. Point WHARFTILLER_SETTINGS at the JSON file"
+            f"{path} is not a readable JSON file: {error}. Set WHARFTILLER_SETTINGS to its path"
         ) from None
     try:
         return ProcessSettings(
@@ -200,10 +200,10 @@
             bounds=_bounds(value, path),
             first_start=value.get("FirstStart") is True,
             limits=_limits(value.get("Limits") or {}, path),
-            # The platform calls a workspace a tenant.
+            # "tenants" is the platform's word for workspaces.
             needs_workspaces="tenants" in (value.get("Contracts") or ()),
         )
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
         raise PlatformSettingsError(
-            f"{path} has no usable {error}. Let the role serve 'front' and 'control'"
+            f"{path}: missing or invalid setting: {error}. Let the role serve 'front' and 'control'"
         ) from None
--- a/wharftiller/platform/store.py
+++ b/wharftiller/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's objects: lists, watches, conditional changes."""
+"""Client of the platform's object store: lists, watches, conditional writes."""
 
 from __future__ import annotations
 
@@ -15,26 +15,28 @@
     from wharftiller.edges.transport import Transport
 
 CALL_TIMEOUT_S = 0.8
-"""Time for one call, in seconds: two lost packets are sent again within 0.6 s.
+"""Time limit of a call, in seconds.
 
-Rounds and reads of a second must notice within their pause that it does not answer.
+Two lost packets are retransmitted within 0.6 s. The limit is below the interval of one second of
+renewals and reads, so that they detect within it that the platform does not answer.
 """
 
 WATCH_WAIT_MS = 25_000
-"""How long a watch waits for a change, in milliseconds; the platform allows 30 s."""
+"""Time that a watch waits for a change, in milliseconds; the platform allows 30 s."""
 
 ERA_HEADER = "store-era"
-"""Header of every answer: rises each time the platform comes back from a copy of its objects."""
+"""Response header with the epoch of the platform's store (`era`), which increases whenever the
+platform is restored from a backup of its objects."""
 
 ERA_REVISIONS = 2**40
-"""Revisions kept for one era.
+"""Number of revisions reserved for one era.
 
-After a restoration the platform counts on from the copy's revision and gives the same numbers to
-other changes. Numbered by era first, a revision stands for one state, and later ones are higher.
+After a restoration the platform continues from the backup's revision and assigns the same numbers
+to other changes. Combined with the era, a revision is unique and increases over restorations.
 """
 
 WATCH_SLACK_S = 3.0
-"""Time that a watch's answer may take beyond its wait, in seconds."""
+"""Time limit of a watch's response beyond its wait, in seconds."""
 
 
 @attrs.frozen
@@ -44,7 +46,7 @@
     Attributes
     ----------
     revision : int
-        The platform's counter at its last change, within its era.
+        Revision of its last change, combined with the era; see `ERA_REVISIONS`.
     """
 
     name: str
@@ -54,14 +56,14 @@
 
 @attrs.frozen
 class WatchedChanges:
-    """What a watch told.
+    """The changes returned by a watch.
 
     Attributes
     ----------
     changes : list of (bool, StoredObject)
-        Whether the object is gone, and how it stood last.
+        Whether the object was deleted, and its last state.
     revision : int
-        The platform's counter after them.
+        Revision after the changes.
     """
 
     changes: list[tuple[bool, StoredObject]]
@@ -70,12 +72,12 @@
 
 @attrs.frozen
 class _Answer:
-    """An answer of the platform.
+    """A response of the platform.
 
     Attributes
     ----------
     era : int
-        The platform's era as it answered.
+        Era of the store at the time of the response.
     """
 
     status: int
@@ -84,15 +86,15 @@
 
 
 class ObjectStore:
-    """Calls to the platform's objects.
+    """Client of the platform's object store.
 
-    Every method raises `PlatformUnavailableError` if no usable answer came; a
-    change may still take effect then.
+    Every method raises `PlatformUnavailableError` if no valid response came; a
+    write may still take effect then.
 
     Attributes
     ----------
     era : int
-        The newest era that an answer told of; 0 before any.
+        Latest era of any response; 0 before the first.
     """
 
     def __init__(self, transport: Transport, address: str, log: DecisionLog | None = None) -> None:
@@ -118,12 +120,12 @@
         return _Answer(answer.status, value, self._note_era(answer.headers.get(ERA_HEADER)))
 
     def _note_era(self, told: str | None) -> int:
-        """Return the era of an answer; that known before where it tells none."""
+        """Record and return the era in a response's header; the last known one if it is missing."""
         if told is None or not told.isdecimal():
             return self.era
         era = int(told)
         if era < self.era:
-            raise PlatformUnavailableError(f"an answer of era {era} came in era {self.era}")
+            raise PlatformUnavailableError(f"a response of era {era} came in era {self.era}")
         if era > self.era:
             if self.era and self._log is not None:
                 self._log.change("platform_restored", era=era, before=self.era)
@@ -131,7 +133,7 @@
         return era
 
     def new_client(self) -> HttpClient:
-        """Return a connection of its own, for what takes long."""
+        """Return a client with a separate connection, for calls that take long."""
         return HttpClient(self._transport, self._address)
 
     async def list_all(
@@ -141,14 +143,14 @@
         timeout_s: float = CALL_TIMEOUT_S,
         after: str = "",
     ) -> tuple[dict[str, StoredObject], int]:
-        """Return all objects of a kind by name, and the revision they stand at.
+        """Return all objects of a kind by name, and the revision of the list.
 
         Parameters
         ----------
         client : HttpClient or None
-            A connection of its own, where a large answer must not hold up other calls.
+            Client with a separate connection, for large lists that would delay other calls.
         after : str
-            Only objects whose names follow it are returned.
+            Return only objects whose names sort after it.
         """
         found: dict[str, StoredObject] = {}
         query = f"?after={quote(after)}" if after else ""
@@ -158,7 +160,7 @@
             answer = await self._call_on(client or self._client, "GET", path, None, timeout_s)
             first_era = answer.era if first_era is None else first_era
             if answer.era != first_era:
-                raise PlatformUnavailableError(f"the platform was restored while {kind} was listed")
+                raise PlatformUnavailableError(f"the platform was restored during a list of {kind}")
             items, revision, more = _parse_page(answer)
             found.update({item.name: item for item in items})
             if not more or not items:
@@ -166,13 +168,13 @@
             query = f"?after={quote(items[-1].name)}"
 
     async def put(self, kind: str, name: str, spec: Any, revision: int | None) -> StoredObject:
-        """Replace an object, or create it; return what stands there afterwards.
+        """Replace or create an object; return the one stored afterwards.
 
         Parameters
         ----------
         revision : int or None
-            Only the object of this revision is replaced; 0 only creates, None
-            replaces whatever stands there.
+            Replace the object only if it is at this revision; 0 only creates it,
+            None replaces it unconditionally.
         """
         meta: dict[str, Any] = {"Name": name, "Finalizers": []}
         path = f"/v1/objects/{kind}/{name}"
@@ -186,24 +188,24 @@
         else:
             answer = await self._call("PUT", path, body)
         if revision and answer.era != era_of(revision):
-            raise PlatformUnavailableError(f"the platform was restored while {path} was written")
+            raise PlatformUnavailableError(f"the platform was restored during a write of {path}")
         if answer.status in (200, 201, 409) and answer.value is not None:
             return parse_object(answer.value, answer.era)
         raise PlatformUnavailableError(f"writing {kind}/{name} was answered {answer.status}")
 
     async def _read_one(self, path: str) -> StoredObject:
-        """Return what stands there now: what was to be replaced went with an era that is over."""
+        """Return the stored object: the revision to be replaced belongs to an earlier era."""
         answer = await self._call("GET", path)
         if answer.status != 200:
             raise PlatformUnavailableError(f"reading {path} was answered {answer.status}")
         return parse_object(answer.value, answer.era)
 
     async def delete(self, kind: str, name: str) -> None:
-        """Remove an object; it is no error if it is gone already."""
+        """Delete an object; a missing one is no error."""
         await self._call("DELETE", f"/v1/objects/{kind}/{name}")
 
     async def watch(self, client: HttpClient, kind: str, revision: int) -> WatchedChanges | None:
-        """Wait for changes after ``revision``; None if the platform has forgotten some."""
+        """Wait for changes after ``revision``; None if some are no longer available."""
         era = era_of(revision)
         if era != self.era:
             return None
@@ -211,7 +213,7 @@
         timeout_s = WATCH_WAIT_MS / 1000 + WATCH_SLACK_S
         answer = await self._call_on(client, "GET", path, None, timeout_s)
         if answer.status == 410 or answer.era != era:
-            # Of another era: what changed before the numbers met again is not among its events.
+            # The events of another era lack the changes up to the reused revision.
             return None
         value = answer.value
         if answer.status != 200 or not isinstance(value, dict):
@@ -223,21 +225,21 @@
             ]
             return WatchedChanges(changes, _revision(value["CurrentRev"], era))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise PlatformUnavailableError(f"a change of {kind} is unusable: {error!r}") from None
+            raise PlatformUnavailableError(f"invalid change of {kind}: {error!r}") from None
 
 
 def _revision(told: Any, era: int) -> int:
-    """Return the platform's revision numbered by its era first."""
+    """Return the platform's revision combined with its era."""
     return era * ERA_REVISIONS + int(told)
 
 
 def era_of(revision: int) -> int:
-    """Return the era in which ``revision`` was read."""
+    """Return the era of ``revision``."""
     return revision // ERA_REVISIONS
 
 
 def _parse_page(answer: _Answer) -> tuple[list[StoredObject], int, bool]:
-    """Return a page's objects, the revision they stand at and whether more pages follow."""
+    """Return a page's objects, the revision of the list and whether more pages follow."""
     if answer.status == 404:
         return [], 0, False
     value, era = answer.value, answer.era
@@ -245,20 +247,20 @@
         items = [parse_object(item, era) for item in value.get("items") or ()]
         return items, _revision(value["CurrentRev"], era), bool(value.get("MorePages"))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise PlatformUnavailableError(f"a list is unusable: {error!r}") from None
+        raise PlatformUnavailableError(f"invalid list of objects: {error!r}") from None
 
 
 def parse_object(value: Any, era: int = 0) -> StoredObject:
-    """Return the object that ``value`` holds, as it stands in ``era``.
+    """Decode an object of the platform, read in ``era``.
 
     Raises
     ------
     PlatformUnavailableError
-        If it is none.
+        If ``value`` is not a valid object.
     """
     try:
         meta = value["meta"]
         revision = _revision(meta["Revision"], era)
         return StoredObject(str(meta["Name"]), revision, value.get("spec"))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise PlatformUnavailableError(f"an object is unusable: {error!r}") from None
+        raise PlatformUnavailableError(f"invalid object: {error!r}") from None
--- a/wharftiller/platform/watches.py
+++ b/wharftiller/platform/watches.py
@@ -1,4 +1,4 @@
-"""Follow the operator's configuration and the endpoints in the platform's objects."""
+"""Watch the platform's objects of the operator's configuration and of the endpoints."""
 
 from __future__ import annotations
 
@@ -27,40 +27,39 @@
     from wharftiller.platform.store import ObjectStore, StoredObject
 
 RETRY_S = 0.4
-"""Time before a failed watch or list is asked for again, in seconds; doubles each time."""
+"""First delay before a failed watch or list is retried, in seconds; doubles each time."""
 
 MAX_RETRY_S = 1.6
-"""Longest time between tries while the platform is away, in seconds."""
+"""Longest delay between retries while the platform is unavailable, in seconds."""
 
 LIST_FRACTION = 0.4
-"""Time for a list, as a part of that within which a configuration is in force.
+"""Time limit of a list, as a fraction of the time within which a configuration must be in force.
 
-A configuration of thousands of routes takes a slow link longer than other calls may take.
+A large configuration takes longer over a slow link than the limit of other calls.
 """
 
 GATHER_S = 0.15
-"""Time to gather further changes before a watch is asked for again, in seconds."""
+"""Delay before the next watch, in seconds, so that it returns several changes at once."""
 
 MISSED_AFTER_S = 0.2
-"""Time after which a change that the watch has not told counts as missed, in seconds."""
+"""Time after which a change that the watch has not returned counts as missed, in seconds."""
 
 Objects = dict[str, "StoredObject"]
 
 
 class KindWatcher:
-    """Follows the objects of one kind by list and watch.
+    """Watches the objects of one kind.
 
     Parameters
     ----------
     take : callable
-        Called with all objects and the revision they stand at; returns whether
-        anything changed.
+        Called with all objects and their revision; returns whether anything changed.
     missed : callable
-        Called when a change was found that the watch did not tell.
+        Called when a list shows a change that the watch did not return.
     account : RevisionTracker
-        Where every change read or told is noted.
+        Records the revisions of all objects listed or returned by watches.
     list_timeout_s : float
-        Time for a list, in seconds: a large one takes long on a slow link.
+        Time limit of a list, in seconds.
     """
 
     def __init__(
@@ -87,11 +86,11 @@
 
     @property
     def wanted(self) -> bool:
-        """Whether this box follows the objects itself."""
+        """Whether this box watches the objects itself."""
         return self._wanted.is_set()
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Watch until cancelled, while wanted."""
         client = self._store.new_client()
         pause_s = RETRY_S
         objects: Objects | None = None
@@ -121,14 +120,14 @@
         )
         self._verified = max(self._verified, self._revision)
         self._account.saw(stored.revision for stored in objects.values())
-        # What a starting box reads first is news to nobody: told by each of many that start, it
-        # would have every other one look.
+        # The first list of a starting box reports no missed change: otherwise each start would
+        # make all other boxes list the objects again.
         if self._take(objects, self._revision) and followed_before:
             self._missed()
         return objects
 
     async def _next(self, client: HttpClient, objects: Objects) -> Objects | None:
-        """Return the objects after the next change; None if they must be read anew."""
+        """Return the objects after the next change; None if they must be listed again."""
         told = await self._store.watch(client, self._kind, self._revision)
         if told is None:
             self._log.change("watch_history_lost", kind=self._kind)
@@ -146,7 +145,7 @@
         return objects
 
     def follow(self, wanted: bool) -> None:
-        """Follow from now on, or not."""
+        """Start or stop watching."""
         if wanted:
             self._wanted.set()
             return
@@ -155,7 +154,7 @@
             self._watching.cancel()
 
     def read_anew(self, revision: int) -> None:
-        """Read anew unless what was read or told stands at ``revision`` already."""
+        """List the objects again unless they are known up to ``revision``."""
         if not self.wanted or revision <= max(self._verified, self._revision):
             return
         self._verified = revision
@@ -164,12 +163,12 @@
 
 
 class PlatformWatches:
-    """Brings configuration and endpoints into a session proxy's state.
+    """Applies the configuration and endpoints to a session proxy's state.
 
     Parameters
     ----------
     decode_configuration : callable
-        Turns the operator's document into the configuration.
+        Decodes the operator's document.
     """
 
     def __init__(
@@ -198,19 +197,19 @@
         ]
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Start to follow both kinds."""
+        """Start the watchers of both kinds."""
         self._nursery = nursery
         for follower in self._followers:
             nursery.start_soon(follower.run)
 
     def follow(self, wanted: bool) -> None:
-        """Follow both kinds from now on, or not: another box then tells of them."""
+        """Start or stop watching both kinds; while stopped, another box sends their changes."""
         for follower in self._followers:
             if follower.wanted != wanted:
                 follower.follow(wanted)
 
     def noticed(self, listing: PlatformSnapshot) -> None:
-        """Read anew what was not heard of up to the platform's revision of ``listing``."""
+        """List the objects again if changes up to the snapshot's revision were missed."""
         assert self._nursery is not None
         self._account.listed(listing.revisions, listing.revision)
         if self._account.misses(listing.revision):
@@ -219,7 +218,7 @@
             self._account.settle(listing.revision)
 
     async def _look_for(self, revision: int) -> None:
-        """Read anew unless the watches tell of all changes up to ``revision`` shortly."""
+        """List again unless the watches return all changes up to ``revision`` shortly."""
         await trio.sleep(MISSED_AFTER_S)
         if self._account.misses(revision):
             for follower in self._followers:
--- a/wharftiller/platform/wire.py
+++ b/wharftiller/platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's line protocol: statements of callers and of this box, and replies."""
+"""The platform's line protocol: encoding and parsing of statements and replies."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     from wharftiller.core.sessions.statements import Body, EndpointBody
 
 MAX_LINE_BYTES = 1_048_576
-"""The protocol's limit for one message."""
+"""The protocol's limit of one message, in bytes."""
 
 READ_BYTES = 16_384
-"""Bytes taken from a stream at once."""
+"""Bytes read from a stream at once."""
 
 OWN_ID = "-"
-"""Stands for the id in statements of this box's own, and for a proof or position that is absent."""
+"""Id of this box's own statements; also stands for an absent proof or position."""
 
 REFUSALS = {
     "BUSY": RefusalKind.NO_CAPACITY,
@@ -59,17 +59,17 @@
     "MALFORMED": RefusalKind.MALFORMED,
     "OVERSIZE": RefusalKind.TOO_LARGE,
 }
-"""The protocol's codes of errors; a code that is not among them is `RefusalKind.OTHER`."""
+"""The protocol's error codes; an unknown code is parsed as `RefusalKind.OTHER`."""
 
 CODES = {kind: code for code, kind in REFUSALS.items()} | {RefusalKind.OTHER: "FAILED"}
-"""The code that tells a caller of each refusal."""
+"""Error codes sent to callers."""
 
 STATES = {
     "I": SessionState.IDLE,
     "T": SessionState.IN_TRANSACTION,
     "E": SessionState.FAILED,
 }
-"""The protocol's words for where a session stands."""
+"""The protocol's codes of session states."""
 
 STATE_WORDS = {state: word for word, state in STATES.items()}
 
@@ -85,16 +85,16 @@
 
     @property
     def buffered(self) -> bool:
-        """Whether bytes have come that no line was made of yet."""
+        """Whether received bytes have not been returned as a line yet."""
         return bool(self._buffer)
 
     async def line(self) -> bytes | None:
-        """Return the next line without its end; None if the stream ends first.
+        """Return the next line without its CR LF; None if the stream ends first.
 
         Raises
         ------
         BodyTooLargeError
-            If a line passes `MAX_LINE_BYTES`.
+            If a line exceeds `MAX_LINE_BYTES`.
         """
         searched = 0
         while True:
@@ -104,7 +104,7 @@
                 del self._buffer[: end + 2]
                 return line
             if len(self._buffer) > MAX_LINE_BYTES:
-                raise BodyTooLargeError(f"a line passes {MAX_LINE_BYTES} bytes; send less at once")
+                raise BodyTooLargeError(f"a line exceeds {MAX_LINE_BYTES} bytes; send less at once")
             searched = max(0, len(self._buffer) - 1)
             try:
                 data = await self._stream.receive_some(READ_BYTES)
@@ -116,22 +116,22 @@
 
 
 def decode(line: bytes) -> str:
-    """Return a line as text; bytes that are no UTF-8 are kept for `encode`."""
+    """Return a line as text; bytes that are not UTF-8 are restored by `encode`."""
     return line.decode(errors="surrogateescape")
 
 
 def encode(text: str) -> bytes:
-    """Return text as it came."""
+    """Return the bytes that `decode` made ``text`` from."""
     return text.encode(errors="surrogateescape")
 
 
 def parse_position(word: str) -> LogPosition | None:
-    """Return the log position that ``word`` writes; None for ``-``.
+    """Parse a log position; None for ``-``.
 
     Raises
     ------
     ValueError
-        If it is neither.
+        If ``word`` is neither.
     """
     if word == OWN_ID:
         return None
@@ -140,24 +140,24 @@
 
 
 def position_word(position: LogPosition | None) -> str:
-    """Return how a log position is written."""
+    """Return a log position in the protocol's form; ``-`` for None."""
     return OWN_ID if position is None else f"{position.term}.{position.index}"
 
 
 def parse_statement(line: bytes) -> Statement:
-    """Return the statement of a caller's line.
+    """Parse a caller's line.
 
     Raises
     ------
     BadRequestError
-        If it is none.
+        If it is not a statement.
     """
     try:
         verb, request_id, text = decode(line).split(" ", 2)
     except ValueError:
         raise BadRequestError("send QUERY, an id and a text") from None
     if verb != "QUERY":
-        raise BadRequestError(f"{verb[:20]} is not known here; send QUERY or RELEASE")
+        raise BadRequestError(f"{verb[:20]} is unknown; send QUERY or RELEASE")
     return Statement(request_id, text, _parse_body(text))
 
 
@@ -184,7 +184,7 @@
         case ["DEALLOC", name]:
             return Deallocate(name)
         case _:
-            raise BadRequestError("the text is no statement of this protocol")
+            raise BadRequestError("the text is not a statement of this protocol")
 
 
 def encode_query(query: EndpointQuery) -> bytes:
@@ -217,16 +217,16 @@
         case _ if statement is not None:
             return statement.text
         case _:
-            raise ValueError(f"{body} is not sent without a caller's statement")
+            raise ValueError(f"{body} needs a caller's statement")
 
 
 async def read_reply(reader: LineReader) -> Reply:
-    """Return the whole reply to one statement.
+    """Read the reply to one statement.
 
     Raises
     ------
     ExchangeError
-        If the endpoint closes first or says what the protocol does not know.
+        If the endpoint closes the connection first or violates the protocol.
     """
     rows: list[bytes] = []
     proof: str | None = None
@@ -247,11 +247,13 @@
                 state, position = _parse_ready(decode(rest))
                 return Reply(state, tuple(rows), proof, refusal, position)
             case _:
-                raise ExchangeError(f"the endpoint said {line[:40]!r}, which is no answer")
+                raise ExchangeError(
+                    f"the endpoint sent {line[:40]!r}, which is not part of a reply"
+                )
 
 
 def parse_refusal(rest: str) -> Refusal:
-    """Return the refusal that an error's code and text tell."""
+    """Parse the code and text of an error."""
     code, _, detail = rest.partition(" ")
     return Refusal(REFUSALS.get(code, RefusalKind.OTHER), detail or code)
 
@@ -261,11 +263,13 @@
     try:
         return STATES[state], parse_position(position or OWN_ID)
     except (KeyError, ValueError):
-        raise ExchangeError(f"the endpoint is ready in {rest[:40]!r}, which is no state") from None
+        raise ExchangeError(
+            f"the endpoint sent READY {rest[:40]!r}, which has no valid state and position"
+        ) from None
 
 
 def encode_reply(reply: Reply) -> bytes:
-    """Return the lines that answer a caller's statement."""
+    """Return the lines of the reply to a caller's statement."""
     parts = [b"ROW " + row + b"\r\n" for row in reply.rows]
     if reply.refusal is None:
         parts.append(encode(f"COMPLETE {reply.proof or OWN_ID}\r\n"))
@@ -276,17 +280,17 @@
 
 
 def encode_refusal(refusal: Refusal) -> bytes:
-    """Return the line that tells a refusal."""
+    """Return the line of a refusal."""
     return encode(f"ERROR {CODES[refusal.kind]} {refusal.detail}\r\n")
 
 
 def parse_status(reply: Reply) -> EndpointStatus | None:
-    """Return the state that a status reply tells; None if the endpoint was too busy.
+    """Parse the reply to a status query; None if the endpoint was too busy.
 
     Raises
     ------
     ExchangeError
-        If it tells something else.
+        If its row is not a status.
     """
     if reply.refusal is not None:
         return None
@@ -295,4 +299,4 @@
         position = parse_position(received) or LogPosition()
         return EndpointStatus(role == "primary", int(term), position, int(connections))
     except (IndexError, ValueError):
-        raise ExchangeError(f"the endpoint's state is {reply.rows[:1]!r}, which is none") from None
+        raise ExchangeError(f"the endpoint's status is {reply.rows[:1]!r}, which is none") from None
