--- a/wharftiller/edges/allowances_json.py
+++ b/wharftiller/edges/allowances_json.py
@@ -32,12 +32,12 @@
     unused: int
 
 
-def token_request_to_json(question: TokenRequest) -> dict[str, Any]:
+def token_request_to_json(request: TokenRequest) -> dict[str, Any]:
     """Return a request for tokens as JSON."""
     return {
-        "workspace": workspace_to_json(question.workspace),
-        "wanted": question.wanted,
-        "unused": question.unused,
+        "workspace": workspace_to_json(request.workspace),
+        "wanted": request.wanted,
+        "unused": request.unused,
     }
 
 
@@ -80,9 +80,9 @@
         raise ExchangeError(f"the token server sent an invalid grant: {error!r}") from None
 
 
-def loan_request_to_json(workspace: Workspace, question: LoanRequest) -> dict[str, Any]:
+def loan_request_to_json(workspace: Workspace, request: LoanRequest) -> dict[str, Any]:
     """Return a request for a loan of ``workspace``'s allowance as JSON."""
-    return {"workspace": workspace_to_json(workspace), **attrs.asdict(question)}
+    return {"workspace": workspace_to_json(workspace), **attrs.asdict(request)}
 
 
 def loan_request_from_json(value: Any) -> tuple[Workspace, LoanRequest]:
@@ -96,7 +96,7 @@
     try:
         workspace = workspace_from_json(value["workspace"])
         held = float(value["held"])
-        question = LoanRequest(
+        request = LoanRequest(
             str(value["borrower"]), str(value["keeper"]), held, value["more"] is True
         )
     except (KeyError, TypeError, ValueError) as error:
@@ -107,12 +107,12 @@
         raise BadRequestError(
             f"a request for a loan needs a workspace, and held from 0 to {MAX_LENT:g}"
         )
-    return workspace, question
+    return workspace, request
 
 
-def loan_reply_to_json(answer: LoanReply | None) -> dict[str, Any]:
+def loan_reply_to_json(reply: LoanReply | None) -> dict[str, Any]:
     """Return a reply as JSON; empty where this box is not the workspace's token server."""
-    return {} if answer is None else attrs.asdict(answer)
+    return {} if reply is None else attrs.asdict(reply)
 
 
 def loan_reply_from_json(value: Any) -> LoanReply | None:
--- a/wharftiller/edges/callers.py
+++ b/wharftiller/edges/callers.py
@@ -19,7 +19,7 @@
 MAX_DEADLINE_MS = 60_000
 MAX_AGE_MS = 86_400_000
 
-Ask = Callable[[Request], Awaitable[Answer]]
+Execute = Callable[[Request], Awaitable[Answer]]
 
 
 @attrs.frozen
@@ -55,7 +55,7 @@
 }
 
 
-async def answer_statement(request: HttpRequest, keys: KeyRing, ask: Ask) -> HttpResponse:
+async def answer_statement(request: HttpRequest, keys: KeyRing, execute: Execute) -> HttpResponse:
     """Answer one ``POST /statements``.
 
     Raises
@@ -65,13 +65,13 @@
         its pool and business.
     """
     body = from_caller(request.json(), CallerStatement)
-    _check_figures(body)
+    _check_fields(body)
     keys.check("business", f"{body.pool}/{body.business}", bearer(request.headers))
-    answer = await ask(_to_request(body, keys))
+    answer = await execute(_to_request(body, keys))
     return _to_response(answer, keys, explain=body.explain)
 
 
-def _check_figures(body: CallerStatement) -> None:
+def _check_fields(body: CallerStatement) -> None:
     if not 0 < len(body.request_id) <= MAX_ID_LENGTH:
         raise BadRequestError(
             f"request_id has {len(body.request_id)} characters; use 1 to {MAX_ID_LENGTH}, unique "
@@ -131,10 +131,10 @@
             {"kind": step.kind.value, "detail": step.detail, "endpoint": step.endpoint}
             for step in answer.steps
         ]
-    return HttpResponse(_status(answer), body, _retry_header(answer))
+    return HttpResponse(_http_status(answer), body, _retry_after_header(answer))
 
 
-def _status(answer: Answer) -> int:
+def _http_status(answer: Answer) -> int:
     match answer.outcome:
         case Outcome.DONE:
             return 200
@@ -144,7 +144,7 @@
             return 422 if answer.retry_after_ms is None else 503
 
 
-def _retry_header(answer: Answer) -> dict[str, str]:
+def _retry_after_header(answer: Answer) -> dict[str, str]:
     if answer.retry_after_ms is None:
         return {}
     return {"retry-after": str(math.ceil(answer.retry_after_ms / 1000))}
--- a/wharftiller/edges/codec.py
+++ b/wharftiller/edges/codec.py
@@ -37,24 +37,24 @@
     return converter
 
 
-_fast = make_strict_converter(forbid_extra_keys=True, detailed=False)
-_detailed = make_strict_converter(forbid_extra_keys=True, detailed=True)
-_peer = make_strict_converter(forbid_extra_keys=False, detailed=False)
+_fast_converter = make_strict_converter(forbid_extra_keys=True, detailed=False)
+_detailed_converter = make_strict_converter(forbid_extra_keys=True, detailed=True)
+_peer_converter = make_strict_converter(forbid_extra_keys=False, detailed=False)
 
 
-def _interned(value: Any, _: Any) -> str:
+def _intern_str(value: Any, _: Any) -> str:
     """Intern strings, since a configuration repeats its names."""
     if type(value) is not str:
         raise ValueError(f"{value!r} is a {type(value).__name__}, a str is needed")
     return sys.intern(value)
 
 
-_peer.register_structure_hook(str, _interned)
+_peer_converter.register_structure_hook(str, _intern_str)
 
 
 def to_json(value: Any) -> Any:
     """Return the JSON value of an attrs object."""
-    return _peer.unstructure(value)
+    return _peer_converter.unstructure(value)
 
 
 def from_caller(value: Any, kind: type[T]) -> T:
@@ -66,14 +66,14 @@
         Lists every invalid field with its path and what is expected.
     """
     try:
-        return _fast.structure(value, kind)
+        return _fast_converter.structure(value, kind)
     except Exception:
         return _structure_with_faults(value, kind)
 
 
 def _structure_with_faults(value: Any, kind: type[T]) -> T:
     try:
-        return _detailed.structure(value, kind)
+        return _detailed_converter.structure(value, kind)
     except Exception as error:
         faults = "; ".join(cattrs.transform_error(error, path="body", format_exception=_describe))
         raise BadRequestError(f"{faults}. Correct the fields and send it again") from None
@@ -100,7 +100,7 @@
         If ``value`` does not match ``kind``.
     """
     try:
-        return _peer.structure(value, kind)
+        return _peer_converter.structure(value, kind)
     except Exception as error:
         raise ExchangeError(
             f"invalid {kind.__name__} from a peer: {error!r}. Check the versions on both sides"
--- a/wharftiller/edges/configuration_store.py
+++ b/wharftiller/edges/configuration_store.py
@@ -16,9 +16,9 @@
 from wharftiller.edges.platform import PlatformClient, StoredObject
 
 HEAD_KEY = "config/head"
-SHARDS = 256
-APPLIED_KEPT = 64
-RETIRED_KEPT = 16
+SHARD_COUNT = 256
+MAX_APPLIED_PLANS = 64
+MAX_RETIRED_SHARDS = 16
 
 
 @attrs.frozen
@@ -73,9 +73,9 @@
     configuration: Configuration
 
 
-def shard_of(name: str) -> str:
+def shard_number(name: str) -> str:
     """Return the number of the shard that holds ``name``."""
-    return str(xxhash.xxh3_64_intdigest(name.encode()) % SHARDS)
+    return str(xxhash.xxh3_64_intdigest(name.encode()) % SHARD_COUNT)
 
 
 class ConfigurationStore:
@@ -109,9 +109,9 @@
         )
 
     async def _shard(self, key: str) -> Shard:
-        kept = self._shards.get(key)
-        if kept is not None:
-            return kept
+        cached = self._shards.get(key)
+        if cached is not None:
+            return cached
         stored = await self._platform.read(key)
         if stored is None:
             raise PlatformUnavailableError(
@@ -119,8 +119,8 @@
             )
         return from_peer(stored.value, Shard)
 
-    async def replace(self, base: StoredConfiguration, wanted: Configuration, plan: str) -> int:
-        """Replace ``base`` by ``wanted`` and return the new generation.
+    async def replace(self, base: StoredConfiguration, target: Configuration, plan: str) -> int:
+        """Replace ``base`` by ``target`` and return the new generation.
 
         Raises
         ------
@@ -129,7 +129,7 @@
         """
         generation = base.head.generation + 1
         before = _split(base.configuration)
-        after = _split(wanted)
+        after = _split(target)
         shards = dict(base.head.shards)
         retired = list(base.head.retired)
         for number in sorted({*before, *after}):
@@ -139,10 +139,10 @@
                 retired.append(shards.pop(number))
             if number in after:
                 shards[number] = await self._write_shard(number, plan, after[number])
-        applied = [*base.head.applied, AppliedPlan(plan, generation)][-APPLIED_KEPT:]
-        head = Head(generation, shards, applied, retired[-RETIRED_KEPT:])
+        applied = [*base.head.applied, AppliedPlan(plan, generation)][-MAX_APPLIED_PLANS:]
+        head = Head(generation, shards, applied, retired[-MAX_RETIRED_SHARDS:])
         await self._platform.update(HEAD_KEY, to_json(head), base.head_version, attempt=plan)
-        await self._delete(retired[:-RETIRED_KEPT])
+        await self._delete(retired[:-MAX_RETIRED_SHARDS])
         return generation
 
     async def _write_shard(self, number: str, plan: str, shard: Shard) -> str:
@@ -160,7 +160,7 @@
 def _split(configuration: Configuration) -> dict[str, Shard]:
     shards: dict[str, Shard] = {}
     for name, group in configuration.groups.items():
-        shards.setdefault(shard_of(name), Shard()).groups[name] = group
+        shards.setdefault(shard_number(name), Shard()).groups[name] = group
     for name, pool in configuration.pools.items():
-        shards.setdefault(shard_of(name), Shard()).pools[name] = pool
+        shards.setdefault(shard_number(name), Shard()).pools[name] = pool
     return shards
--- a/wharftiller/edges/endpoints.py
+++ b/wharftiller/edges/endpoints.py
@@ -30,7 +30,7 @@
 from wharftiller.edges.transport import Transport
 
 CONNECT_TIMEOUT_S = 1.0
-LOST_REPORT_PAUSE_S = 0.05
+LOST_REPORT_DELAY_S = 0.05
 
 Feed = Callable[[Input], None]
 
@@ -89,7 +89,7 @@
             if opened is None:
                 return
             try:
-                await self._carry(order.connection, opened, statements)
+                await self._run_statements(order.connection, opened, statements)
             finally:
                 await opened.aclose()
 
@@ -112,7 +112,7 @@
         self._feed(ConnectionRefused(order.connection, at_limit))
         return None
 
-    async def _carry(
+    async def _run_statements(
         self,
         number: int,
         opened: HttpConnection,
@@ -120,7 +120,7 @@
     ) -> None:
         try:
             async for statement in statements:
-                answer = await opened.request("POST", "/statement", _encode(statement))
+                answer = await opened.request("POST", "/statement", _encode_statement(statement))
                 parsed = from_peer(answer.json(), EndpointAnswer)
                 self._feed(StatementAnswered(number, parsed))
         except ExchangeError:
@@ -128,7 +128,7 @@
             self._feed(ConnectionLost(number))
 
 
-def _encode(order: SendStatement) -> dict[str, Any]:
+def _encode_statement(order: SendStatement) -> dict[str, Any]:
     return {
         "request_id": order.request_id,
         "business": order.business,
@@ -150,24 +150,24 @@
 
     def send(self, order: SendReport) -> None:
         """Request a report; it, or its loss, is fed back as an input."""
-        self._nursery.start_soon(self._ask, order, trio.current_time())
+        self._nursery.start_soon(self._request_report, order, trio.current_time())
 
     def _client(self, order: SendReport) -> HttpClient:
-        place = (order.endpoint, order.lane)
-        client = self._clients.get(place)
+        key = (order.endpoint, order.lane)
+        client = self._clients.get(key)
         if client is None or client.address != order.address:
             client = HttpClient(self._transport, order.address)
-            self._clients[place] = client
+            self._clients[key] = client
         return client
 
-    async def _ask(self, order: SendReport, sent_at: float) -> None:
+    async def _request_report(self, order: SendReport, sent_at: float) -> None:
         body = {"wait_position": order.wait_position, "wait_ms": order.wait_ms}
         timeout_s = REPORT_TIMEOUT_S + order.wait_ms / 1000
         try:
             answer = await self._client(order).request("POST", "/report", body, timeout_s=timeout_s)
             report = from_peer(answer.json(), Report)
         except ExchangeError:
-            await trio.sleep(LOST_REPORT_PAUSE_S)
+            await trio.sleep(LOST_REPORT_DELAY_S)
             self._feed(ReportLost(order.endpoint, order.lane, sent_at))
         else:
             self._feed(ReportArrived(order.endpoint, order.lane, sent_at, report))
--- a/wharftiller/edges/forwarded_json.py
+++ b/wharftiller/edges/forwarded_json.py
@@ -94,11 +94,11 @@
     lacks_lease: bool = False
 
 
-def _to_text(text: str) -> str:
+def _text_to_json(text: str) -> str:
     return text.encode(errors="surrogateescape").decode("latin-1")
 
 
-def _from_text(text: str) -> str:
+def _text_from_json(text: str) -> str:
     return text.encode("latin-1").decode(errors="surrogateescape")
 
 
@@ -111,11 +111,11 @@
 
 
 def _prepared_to_json(prepared: PreparedStatement | None) -> list[str] | None:
-    return None if prepared is None else [prepared.access.value, _to_text(prepared.shape)]
+    return None if prepared is None else [prepared.access.value, _text_to_json(prepared.shape)]
 
 
 def _prepared_from_json(value: Any) -> PreparedStatement | None:
-    return None if value is None else PreparedStatement(Access(value[0]), _from_text(value[1]))
+    return None if value is None else PreparedStatement(Access(value[0]), _text_from_json(value[1]))
 
 
 def _route_to_json(route: Route) -> dict[str, Any]:
@@ -165,7 +165,7 @@
         return None
     allowance = workspace.allowance
     limit = None if allowance is None else [allowance.rate_per_s, allowance.burst]
-    return [_to_text(workspace.name), limit]
+    return [_text_to_json(workspace.name), limit]
 
 
 def workspace_from_json(value: Any) -> Workspace | None:
@@ -180,7 +180,7 @@
         return None
     name, limit = value
     allowance = None if limit is None else Allowance(float(limit[0]), float(limit[1]))
-    return Workspace(_from_text(name), allowance)
+    return Workspace(_text_from_json(name), allowance)
 
 
 def _body_to_json(body: object) -> list[str]:
@@ -188,7 +188,7 @@
         case Direct(access):
             return ["direct", access.value]
         case Execute(name, arguments):
-            return ["execute", _to_text(name), _to_text(arguments)]
+            return ["execute", _text_to_json(name), _text_to_json(arguments)]
         case Commit():
             return ["commit"]
         case _:
@@ -200,33 +200,33 @@
         case ["direct", access]:
             return Direct(Access(access))
         case ["execute", name, arguments]:
-            return Execute(_from_text(name), _from_text(arguments))
+            return Execute(_text_from_json(name), _text_from_json(arguments))
         case ["commit"]:
             return Commit()
         case _:
             raise ValueError(f"{value!r} is not a forwarded statement")
 
 
-def statement_to_json(asked: ForwardedStatement) -> dict[str, Any]:
+def statement_to_json(forwarded: ForwardedStatement) -> dict[str, Any]:
     """Return a statement as JSON."""
     return {
-        "box": asked.box,
-        "workspace": workspace_to_json(asked.workspace),
+        "box": forwarded.box,
+        "workspace": workspace_to_json(forwarded.workspace),
         # Required by boxes of a version without workspaces.
         "caller": "",
-        "route": _route_to_json(asked.route),
-        "request": _to_text(asked.statement.request_id),
-        "text": _to_text(asked.statement.text),
-        "body": _body_to_json(asked.statement.body),
-        "age_s": asked.age_s,
-        "values": {_to_text(k): _to_text(v) for k, v in asked.values.items()},
-        "needed": _prepared_to_json(asked.needed),
-        "transaction": asked.transaction,
-        "begins": asked.begins,
-        "read_only": asked.read_only,
-        "begun_s": asked.begun_s,
-        "own_write": _position_to_json(asked.own_write),
-        "unsettled": asked.unsettled,
+        "route": _route_to_json(forwarded.route),
+        "request": _text_to_json(forwarded.statement.request_id),
+        "text": _text_to_json(forwarded.statement.text),
+        "body": _body_to_json(forwarded.statement.body),
+        "age_s": forwarded.age_s,
+        "values": {_text_to_json(k): _text_to_json(v) for k, v in forwarded.values.items()},
+        "needed": _prepared_to_json(forwarded.needed),
+        "transaction": forwarded.transaction,
+        "begins": forwarded.begins,
+        "read_only": forwarded.read_only,
+        "begun_s": forwarded.begun_s,
+        "own_write": _position_to_json(forwarded.own_write),
+        "unsettled": forwarded.unsettled,
     }
 
 
@@ -244,12 +244,12 @@
             workspace=workspace_from_json(value.get("workspace")),
             route=_route_from_json(value["route"]),
             statement=Statement(
-                _from_text(value["request"]),
-                _from_text(value["text"]),
+                _text_from_json(value["request"]),
+                _text_from_json(value["text"]),
                 _body_from_json(value["body"]),
             ),
             age_s=float(value["age_s"]),
-            values={_from_text(k): _from_text(v) for k, v in value["values"].items()},
+            values={_text_from_json(k): _text_from_json(v) for k, v in value["values"].items()},
             needed=_prepared_from_json(value["needed"]),
             transaction=str(value["transaction"]),
             begins=value["begins"] is True,
@@ -264,21 +264,21 @@
         ) from None
 
 
-def reply_to_json(told: ForwardedReply) -> dict[str, Any]:
+def reply_to_json(forwarded: ForwardedReply) -> dict[str, Any]:
     """Return a reply as JSON."""
-    reply = told.reply
+    reply = forwarded.reply
     refusal = reply.refusal
     return {
         "state": reply.state.value,
         "rows": [row.decode("latin-1") for row in reply.rows],
-        "proof": None if reply.proof is None else _to_text(reply.proof),
+        "proof": None if reply.proof is None else _text_to_json(reply.proof),
         "refusal": None if refusal is None else _refusal_to_json(refusal),
         "position": _position_to_json(reply.position),
         "endpoint": reply.endpoint,
-        "own_write": _position_to_json(told.own_write),
-        "unsettled": told.unsettled,
-        "primary_usable": told.primary_usable,
-        "lacks_lease": told.lacks_lease,
+        "own_write": _position_to_json(forwarded.own_write),
+        "unsettled": forwarded.unsettled,
+        "primary_usable": forwarded.primary_usable,
+        "lacks_lease": forwarded.lacks_lease,
     }
 
 
@@ -295,15 +295,15 @@
         reply = Reply(
             SessionState(value["state"]),
             tuple(row.encode("latin-1") for row in value["rows"]),
-            None if value["proof"] is None else _from_text(value["proof"]),
+            None if value["proof"] is None else _text_from_json(value["proof"]),
             None if refusal is None else _refusal_from_json(refusal),
             _position_from_json(value["position"]),
             None if value["endpoint"] is None else str(value["endpoint"]),
         )
         own_write = _position_from_json(value["own_write"])
-        usable = value["primary_usable"] is True
+        is_usable = value["primary_usable"] is True
         lacks_lease = value["lacks_lease"] is True
-        return ForwardedReply(reply, own_write, value["unsettled"] is True, usable, lacks_lease)
+        return ForwardedReply(reply, own_write, value["unsettled"] is True, is_usable, lacks_lease)
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
         raise BadRequestError(
             f"invalid reply to a statement: {error!r}; run the same version on all boxes"
@@ -312,9 +312,11 @@
 
 def _refusal_to_json(refusal: Refusal) -> list[str | None]:
     cause = None if refusal.cause is None else refusal.cause.value
-    return [refusal.kind.value, _to_text(refusal.detail), cause]
+    return [refusal.kind.value, _text_to_json(refusal.detail), cause]
 
 
 def _refusal_from_json(value: Any) -> Refusal:
     kind, detail, cause = value
-    return Refusal(RefusalKind(kind), _from_text(detail), None if cause is None else Cause(cause))
+    return Refusal(
+        RefusalKind(kind), _text_from_json(detail), None if cause is None else Cause(cause)
+    )
--- a/wharftiller/edges/http_client.py
+++ b/wharftiller/edges/http_client.py
@@ -14,10 +14,10 @@
 from wharftiller.edges.http_server import READ_BYTES
 from wharftiller.edges.transport import Transport, close_now
 
-MAX_DECOMPRESSED = 16 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES = 16 * 1024 * 1024
 """Limit of a decompressed response; a configuration has at most one million bytes."""
 
-SENT_AGAIN = ("GET", "PUT")
+RETRIED_METHODS = ("GET", "PUT")
 """Idempotent methods, retried when a persistent connection turns out to be closed."""
 
 
@@ -25,14 +25,14 @@
     """Builds one response from the parser's callbacks."""
 
     def __init__(self) -> None:
-        self.complete = False
+        self.is_complete = False
         self.close = False
         self.body: list[bytes] = []
         self.headers: dict[str, str] = {}
-        self.extra = False
+        self.has_extra = False
 
     def on_message_begin(self) -> None:
-        self.extra = self.complete
+        self.has_extra = self.is_complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
@@ -41,7 +41,7 @@
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        self.complete = True
+        self.is_complete = True
 
 
 @attrs.define
@@ -61,14 +61,14 @@
             If it is not JSON.
         """
         try:
-            return orjson.loads(self._plain_body())
+            return orjson.loads(self._decompressed_body())
         except (orjson.JSONDecodeError, zlib.error) as error:
             raise ExchangeError(f"the response is not JSON: {error}. Check the peer") from None
 
-    def _plain_body(self) -> bytes:
+    def _decompressed_body(self) -> bytes:
         if self.headers.get("content-encoding") != "deflate":
             return self.body
-        return zlib.decompressobj().decompress(self.body, MAX_DECOMPRESSED)
+        return zlib.decompressobj().decompress(self.body, MAX_DECOMPRESSED_BYTES)
 
 
 class HttpConnection:
@@ -78,7 +78,7 @@
         self._stream = stream
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether no unexpected bytes arrived; the peer may still have closed it."""
         if isinstance(self._stream, trio.SocketStream):
             return not self._stream.socket.is_readable()
@@ -104,7 +104,7 @@
     async def _read_answer(self) -> HttpAnswer:
         collector = _ResponseCollector()
         parser = httptools.HttpResponseParser(collector)
-        while not collector.complete:
+        while not collector.is_complete:
             data = await self._stream.receive_some(READ_BYTES)
             if not data:
                 raise ExchangeError("the peer closed the connection before its response")
@@ -112,7 +112,7 @@
                 parser.feed_data(data)
             except httptools.HttpParserError as error:
                 raise ExchangeError(f"the response is not HTTP/1.1: {error}") from None
-        if collector.extra:
+        if collector.has_extra:
             raise ExchangeError("the peer sent more than one response to a request")
         return HttpAnswer(parser.get_status_code(), collector.headers, b"".join(collector.body))
 
@@ -161,11 +161,11 @@
         """
         with trio.move_on_after(timeout_s):
             async with self._lock:
-                kept = self._connection is not None
+                was_open = self._connection is not None
                 try:
                     return await self._exchange(method, path, body, headers)
                 except ExchangeError:
-                    if not kept or method not in SENT_AGAIN:
+                    if not was_open or method not in RETRIED_METHODS:
                         raise
                 return await self._exchange(method, path, body, headers)
         raise NoAnswerInTimeError(f"{self._address} did not answer within {timeout_s} s")
@@ -173,15 +173,15 @@
     async def _exchange(
         self, method: str, path: str, body: Any, headers: dict[str, str] | None
     ) -> HttpAnswer:
-        whole = False
+        is_reusable = False
         try:
             if self._connection is None:
                 self._connection = HttpConnection(await self._transport.connect(self._address))
             answer = await self._connection.request(method, path, body, headers)
-            whole = answer.headers.get("connection") != "close"
+            is_reusable = answer.headers.get("connection") != "close"
             return answer
         finally:
-            if not whole:
+            if not is_reusable:
                 await self.aclose()
 
     async def aclose(self) -> None:
@@ -219,13 +219,13 @@
             If no response came; the request may or may not have taken effect.
         """
         connection = await self._connection()
-        whole = False
+        is_reusable = False
         try:
             answer = await connection.request("POST", path, body)
-            whole = answer.headers.get("connection") != "close"
+            is_reusable = answer.headers.get("connection") != "close"
             return answer
         finally:
-            if whole:
+            if is_reusable:
                 self._idle.append(connection)
             else:
                 with trio.CancelScope(shield=True):
@@ -234,7 +234,7 @@
     async def _connection(self) -> HttpConnection:
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable:
+            if connection.is_usable:
                 return connection
             await connection.aclose()
         try:
--- a/wharftiller/edges/http_server.py
+++ b/wharftiller/edges/http_server.py
@@ -64,7 +64,7 @@
             ) from None
 
 
-COMPRESSED_FROM = 4_096
+MIN_COMPRESSED_BYTES = 4_096
 """Size from which bodies are compressed, in bytes: it saves at least two or three packets."""
 
 COMPRESSION_LEVEL = 1
@@ -91,7 +91,7 @@
         """Return the bytes to send."""
         body = self.body if isinstance(self.body, bytes) else orjson.dumps(self.body)
         phrase = http.HTTPStatus(self.status).phrase
-        if self.compressed and len(body) >= COMPRESSED_FROM:
+        if self.compressed and len(body) >= MIN_COMPRESSED_BYTES:
             body = zlib.compress(body, COMPRESSION_LEVEL)
             self.headers["content-encoding"] = "deflate"
         head = f"HTTP/1.1 {self.status} {phrase}\r\ncontent-length: {len(body)}\r\n"
@@ -119,34 +119,34 @@
         self.requests: list[HttpRequest] = []
         self.in_request = False
         self.method: Callable[[], str] = str
-        self._fresh()
+        self._reset()
 
-    def _fresh(self) -> None:
+    def _reset(self) -> None:
         self._url = b""
         self._headers: dict[str, str] = {}
         self._header_count = 0
-        self._size = 0
+        self._head_size = 0
         self._body: list[bytes] = []
         self._body_size = 0
 
     def on_message_begin(self) -> None:
         self.in_request = True
-        self._fresh()
+        self._reset()
 
     def on_url(self, url: bytes) -> None:
         self._url += url
-        self._grow(len(url))
+        self._add_to_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._grow(len(name) + len(value))
+        self._add_to_head(len(name) + len(value))
         self._header_count += 1
         if self._header_count > MAX_HEADERS:
             raise BodyTooLargeError(f"more than {MAX_HEADERS} headers. Send fewer")
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
-    def _grow(self, size: int) -> None:
-        self._size += size
-        if self._size > MAX_HEADER_BYTES:
+    def _add_to_head(self, size: int) -> None:
+        self._head_size += size
+        if self._head_size > MAX_HEADER_BYTES:
             raise BodyTooLargeError(
                 f"the request's path and headers exceed {MAX_HEADER_BYTES} bytes. Shorten them"
             )
@@ -166,7 +166,7 @@
         path = url.path.decode("latin-1")
         body = b"".join(self._body)
         self.requests.append(HttpRequest(self.method(), path, query, self._headers, body))
-        self._fresh()
+        self._reset()
 
 
 async def serve_stream(stream: trio.abc.Stream, handler: HttpHandler) -> None:
@@ -212,7 +212,7 @@
 
     def read(self, data: bytes) -> tuple[list[HttpRequest], WharfError | None]:
         """Return the requests that ``data`` completes, and the error of the rest, if any."""
-        error = _feed(self._parser, data)
+        error = _parse(self._parser, data)
         requests, self._collector.requests = self._collector.requests, []
         if len(requests) <= MAX_PIPELINED:
             return requests, error
@@ -240,7 +240,7 @@
     return b""
 
 
-def _feed(parser: Any, data: bytes) -> WharfError | None:
+def _parse(parser: Any, data: bytes) -> WharfError | None:
     try:
         parser.feed_data(data)
     except httptools.HttpParserUpgrade:
--- a/wharftiller/edges/leadership_json.py
+++ b/wharftiller/edges/leadership_json.py
@@ -28,9 +28,9 @@
     match state:
         case Leading():
             return _leading_to_json(state)
-        case FailingOver(old, successor, planned, ordered):
+        case FailingOver(leading, successor, planned, ordered):
             return {
-                **_leading_to_json(old),
+                **_leading_to_json(leading),
                 "successor": successor,
                 "planned": planned,
                 "ordered": ordered,
@@ -53,7 +53,7 @@
         If ``value`` is not a valid record.
     """
     try:
-        groups = {str(name): _group_from_json(each) for name, each in value["groups"].items()}
+        groups = {str(name): _group_from_json(state) for name, state in value["groups"].items()}
         return LeadershipRecord(
             int(revision),
             int(value["fence"]),
@@ -72,7 +72,9 @@
 
 def _group_from_json(value: Any) -> GroupLeadership:
     is_unverified = value.get("doubted") is True
-    old = Leading(str(value["endpoint"]), int(value["term"]), is_unverified)
+    leading = Leading(str(value["endpoint"]), int(value["term"]), is_unverified)
     if "successor" not in value:
-        return old
-    return FailingOver(old, str(value["successor"]), bool(value["planned"]), bool(value["ordered"]))
+        return leading
+    return FailingOver(
+        leading, str(value["successor"]), bool(value["planned"]), bool(value["ordered"])
+    )
--- a/wharftiller/edges/metrics_page.py
+++ b/wharftiller/edges/metrics_page.py
@@ -55,7 +55,7 @@
         yield from self._counters()
         yield from self._histograms()
         for gauge in self._gauges:
-            yield _gauge(gauge)
+            yield _gauge_family(gauge)
 
     def _counters(self) -> Iterator[Metric]:
         from prometheus_client.core import CounterMetricFamily
@@ -93,14 +93,14 @@
         for outcome, count in self._metrics.allowances.items():
             allowances.add_metric((outcome,), count)
         yield allowances
-        doors = CounterMetricFamily(
+        admissions = CounterMetricFamily(
             f"{PREFIX}_doors",
             "Callers' connections, by outcome of admission.",
             labels=("outcome",),
         )
         for outcome, count in self._metrics.doors.items():
-            doors.add_metric((outcome,), count)
-        yield doors
+            admissions.add_metric((outcome,), count)
+        yield admissions
         yield from self._connections()
         events = CounterMetricFamily(
             f"{PREFIX}_events",
@@ -141,7 +141,7 @@
         yield family
 
 
-def _gauge(gauge: Gauge) -> Metric:
+def _gauge_family(gauge: Gauge) -> Metric:
     from prometheus_client.core import GaugeMetricFamily
 
     family = GaugeMetricFamily(f"{PREFIX}_{gauge.name}", gauge.help_text, labels=gauge.labels)
--- a/wharftiller/edges/peers.py
+++ b/wharftiller/edges/peers.py
@@ -12,7 +12,7 @@
 from wharftiller.edges.transport import Transport
 from wharftiller.keys import KeyRing, bearer, bearer_header
 
-ANSWER_TIMEOUT_S = 1.0
+REPLY_TIMEOUT_S = 1.0
 PEER = "peer"
 
 
@@ -89,7 +89,7 @@
         self._client = HttpClient(transport, address)
         self._headers = bearer_header(keys.mint(PEER, PEER))
 
-    async def ask_configuration(self, question: ConfigurationRequest) -> ConfigurationReply:
+    async def ask_configuration(self, request: ConfigurationRequest) -> ConfigurationReply:
         """Request what is newer than ``request.generation`` from a steward.
 
         Raises
@@ -100,9 +100,9 @@
         answer = await self._client.request(
             "POST",
             "/peer/configuration",
-            to_json(question),
+            to_json(request),
             self._headers,
-            timeout_s=question.wait_ms / 1000 + ANSWER_TIMEOUT_S,
+            timeout_s=request.wait_ms / 1000 + REPLY_TIMEOUT_S,
         )
         return from_peer(answer.json(), ConfigurationReply)
 
@@ -115,5 +115,5 @@
             If it does not answer.
         """
         await self._client.request(
-            "POST", "/peer/primary", to_json(notice), self._headers, timeout_s=ANSWER_TIMEOUT_S
+            "POST", "/peer/primary", to_json(notice), self._headers, timeout_s=REPLY_TIMEOUT_S
         )
--- a/wharftiller/edges/platform.py
+++ b/wharftiller/edges/platform.py
@@ -15,7 +15,7 @@
 from wharftiller.edges.transport import Transport
 
 CALL_TIMEOUT_S = 1.0
-UPDATE_TRIES = 3
+MAX_UPDATE_ATTEMPTS = 3
 
 
 @attrs.frozen
@@ -76,11 +76,11 @@
     """
 
     def __init__(
-        self, transport: Transport, address: str, count: Callable[[str], None] = lambda _: None
+        self, transport: Transport, address: str, count_call: Callable[[str], None] = lambda _: None
     ) -> None:
         self._client = HttpClient(transport, address)
-        self._watcher = HttpClient(transport, address)
-        self._count = count
+        self._watch_client = HttpClient(transport, address)
+        self._count_call = count_call
 
     async def read(self, key: str) -> StoredObject | None:
         """Return an object, or None if there is none."""
@@ -106,9 +106,11 @@
 
     async def watch(self, key: str, after: int, wait_s: float) -> StoredObject | None:
         """Return the object once its version exceeds ``after``; None after ``wait_s`` seconds."""
-        self._count("platform.watch")
+        self._count_call("platform.watch")
         path = f"/watch/{quote(key)}?after={after}&wait_ms={round(wait_s * 1000)}"
-        answer = await self._exchange(self._watcher, "GET", path, None, wait_s + CALL_TIMEOUT_S)
+        answer = await self._exchange(
+            self._watch_client, "GET", path, None, wait_s + CALL_TIMEOUT_S
+        )
         return None if answer.status in (204, 404) else from_peer(answer.json(), StoredObject)
 
     async def update(
@@ -128,19 +130,19 @@
         """
         attempt = attempt or new_attempt()
         body = {"value": value, "if_version": if_version, "attempt": attempt}
-        for left in reversed(range(UPDATE_TRIES)):
+        for attempts_left in reversed(range(MAX_UPDATE_ATTEMPTS)):
             try:
                 answer = await self._call("PUT", f"/objects/{quote(key)}", body)
             except PlatformUnavailableError:
-                if not left:
+                if not attempts_left:
                     raise
                 continue
             if answer.status == 409:
-                return await self._own_earlier_update(key, if_version, attempt)
+                return await self._read_own_update(key, if_version, attempt)
             return from_peer(answer.json(), StoredObject)
         raise AssertionError("unreachable")
 
-    async def _own_earlier_update(self, key: str, if_version: int, attempt: str) -> StoredObject:
+    async def _read_own_update(self, key: str, if_version: int, attempt: str) -> StoredObject:
         """Return the object if this attempt wrote it and the response was lost."""
         written = await self.read(key)
         if written is not None and written.attempt == attempt:
@@ -148,7 +150,7 @@
         raise ConflictError(key, if_version, written.version if written else 0)
 
     async def _call(self, method: str, path: str, body: Any = None) -> HttpAnswer:
-        self._count("platform.call")
+        self._count_call("platform.call")
         return await self._exchange(self._client, method, path, body, CALL_TIMEOUT_S)
 
     async def _exchange(
@@ -160,7 +162,7 @@
             raise PlatformUnavailableError(f"the platform did not answer: {error}") from None
         if answer.status == 429 or answer.status >= 500:
             raise PlatformUnavailableError(
-                f"the platform answered {answer.status} to {method}; its rate limit is exceeded or it is "
-                "unavailable. Try again shortly"
+                f"the platform answered {answer.status} to {method}; its rate limit is exceeded, "
+                "or it is unavailable. Try again shortly"
             )
         return answer
--- a/wharftiller/edges/transport.py
+++ b/wharftiller/edges/transport.py
@@ -17,10 +17,10 @@
 BACKLOG = 1024
 KEEPALIVE_IDLE_S = 120
 
-CLOSED = -1
+CLOSED_FILENO = -1
 """File descriptor of a closed socket."""
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+ZERO_LINGER = struct.pack("ii", 1, 0)
 """Linger time of 0 s: closing resets the connection."""
 
 
@@ -96,12 +96,12 @@
         bound = listeners[0].socket.getsockname()
         task_status.started(f"{bound[0]}:{bound[1]}")
 
-        async def guarded(stream: trio.SocketStream) -> None:
-            _find_dead_peers(stream)
+        async def handle(stream: trio.SocketStream) -> None:
+            _enable_keepalive(stream)
             async with stream:
                 await handler(stream)
 
-        await trio.serve_listeners(guarded, listeners)
+        await trio.serve_listeners(handle, listeners)
 
 
 class CountedTransport:
@@ -131,17 +131,17 @@
     ) -> None:
         """Accept streams until cancelled; report the bound address to ``task_status``."""
 
-        async def counted(stream: trio.abc.Stream) -> None:
+        async def handle(stream: trio.abc.Stream) -> None:
             self._accepted += 1
             try:
                 await handler(stream)
             finally:
                 self._accepted -= 1
 
-        await self._transport.serve(address, counted, task_status)
+        await self._transport.serve(address, handle, task_status)
 
 
-def _find_dead_peers(stream: trio.SocketStream) -> None:
+def _enable_keepalive(stream: trio.SocketStream) -> None:
     """Have the kernel close connections to peers that no longer respond."""
     stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_KEEPALIVE, 1)
     stream.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -159,5 +159,5 @@
 
 def reset_on_close(stream: trio.abc.AsyncResource) -> None:
     """Make a later close of a TCP stream reset it."""
-    if isinstance(stream, trio.SocketStream) and stream.socket.fileno() != CLOSED:
-        stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, RESET_ON_CLOSE)
+    if isinstance(stream, trio.SocketStream) and stream.socket.fileno() != CLOSED_FILENO:
+        stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, ZERO_LINGER)
--- a/wharftiller/platform/__main__.py
+++ b/wharftiller/platform/__main__.py
@@ -58,30 +58,34 @@
         self._path = path
         self._log = log
         # Callers' connections are not counted here; connection admission counts them.
-        self._callers = transport
+        self._caller_transport = transport
         self._transport = CountedTransport(transport)
         self.proxy: SessionProxy | None = None
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            await self.serve(lambda: self._take_signals(signals))
+            await self.serve(lambda: self._wait_for_stop_signal(signals))
 
-    async def serve(self, told_to_stop: Callable[[], Awaitable[None]]) -> None:
+    async def serve(self, wait_for_stop: Callable[[], Awaitable[None]]) -> None:
         """Serve until ``wait_for_stop`` returns and accepted statements are answered."""
         settings = self._settings
         async with trio.open_nursery() as nursery:
             proxy = self.proxy = self._compose(nursery)
             self._log.change("started", pid=os.getpid(), data_centre=settings.data_centre)
             callers = CallerServer(proxy)
-            await nursery.start(self._callers.serve, settings.callers, callers.serve)
-            await nursery.start(self._transport.serve, settings.ready, self._answer_ready(proxy))
-            await nursery.start(self._transport.serve, settings.boxes, self._http(proxy.handle_box))
+            await nursery.start(self._caller_transport.serve, settings.callers, callers.serve)
+            await nursery.start(
+                self._transport.serve, settings.ready, self._readiness_handler(proxy)
+            )
+            await nursery.start(
+                self._transport.serve, settings.boxes, self._http_handler(proxy.handle_box)
+            )
             await nursery.start(self._transport.serve, settings.relay, proxy.relay.serve)
-            metrics = self._http(proxy.handle_metrics)
+            metrics = self._http_handler(proxy.handle_metrics)
             await nursery.start(self._transport.serve, settings.metrics, metrics)
             proxy.start()
-            await told_to_stop()
+            await wait_for_stop()
             await proxy.stop()
             nursery.cancel_scope.cancel()
 
@@ -90,7 +94,7 @@
         store = ObjectStore(self._transport, settings.store, self._log)
         decode = partial(decode_configuration, needs_workspaces=settings.needs_workspaces)
 
-        def feeds(state: SharedState, missed: Callable[[], None]) -> PlatformWatches:
+        def make_watches(state: SharedState, missed: Callable[[], None]) -> PlatformWatches:
             return PlatformWatches(store, settings.bounds, decode, state, missed, self._log)
 
         return SessionProxy(
@@ -106,7 +110,7 @@
             self._transport,
             LineDialer(self._transport, settings.box),
             SharedPlatformObjects(store, self._log),
-            feeds,
+            make_watches,
             PlatformPromotions(self._transport, settings.duties),
             self._log,
             decode,
@@ -115,7 +119,7 @@
             lambda: self._transport.open_streams,
         )
 
-    async def _take_signals(self, signals: AsyncIterator[int]) -> None:
+    async def _wait_for_stop_signal(self, signals: AsyncIterator[int]) -> None:
         async for number in signals:
             if number != signal.SIGHUP:
                 return
@@ -130,7 +134,7 @@
             return
         self._log.change("settings_reloaded", differ=changed)
 
-    def _http(self, handler: HttpHandler) -> Handler:
+    def _http_handler(self, handler: HttpHandler) -> Handler:
         async def serve(stream: trio.abc.Stream) -> None:
             try:
                 await serve_stream(stream, handler)
@@ -140,13 +144,13 @@
 
         return serve
 
-    def _answer_ready(self, proxy: SessionProxy) -> Handler:
+    def _readiness_handler(self, proxy: SessionProxy) -> Handler:
         async def handle(request: HttpRequest) -> HttpResponse:
             if request.path != READY_PATH:
                 return HttpResponse(404, {"error": f"ask {READY_PATH}"})
             return HttpResponse(200 if proxy.is_ready else 503, {"ready": proxy.is_ready})
 
-        return self._http(handle)
+        return self._http_handler(handle)
 
 
 def main() -> None:
--- a/wharftiller/platform/callers.py
+++ b/wharftiller/platform/callers.py
@@ -15,7 +15,7 @@
     identify,
 )
 from wharftiller.platform.wire import (
-    OWN_ID,
+    ABSENT,
     LineReader,
     decode,
     encode_refusal,
@@ -32,14 +32,14 @@
 GREETING_TIMEOUT_S = 5.0
 """Time limit for a caller's greeting, in seconds."""
 
-REFUSED_GREETING_S = 0.3
+REFUSED_GREETING_TIMEOUT_S = 0.3
 """Time limit for the greeting of a caller that is refused for lack of capacity, in seconds."""
 
 MAX_BEING_REFUSED = 32
 """Number of refused callers whose greeting is awaited at once. Beyond it connections are closed
 without a refusal, so that a load peak takes few file descriptors."""
 
-CONFIGURATION_WAIT_S = 1.5
+CONFIGURATION_TIMEOUT_S = 1.5
 """Time a new session waits for the first configuration, in seconds; callers time out after 2 s."""
 
 
@@ -58,7 +58,7 @@
         try:
             return parse_statement(line)
         except BadRequestError as error:
-            return Statement(OWN_ID, decode(line), Malformed(str(error)))
+            return Statement(ABSENT, decode(line), Malformed(str(error)))
 
     async def send(self, reply: Reply) -> None:
         """Send the reply to the last statement."""
@@ -100,7 +100,7 @@
             return
         self._being_refused += 1
         try:
-            with trio.move_on_after(REFUSED_GREETING_S):
+            with trio.move_on_after(REFUSED_GREETING_TIMEOUT_S):
                 await reader.line()
             detail = self._proxy.door.refusal()
             await self._refuse(stream, RefusalKind.TOO_MANY_CONNECTIONS, detail)
@@ -122,7 +122,7 @@
             await self._refuse(stream, RefusalKind.MALFORMED, "send CONNECT, a database and a name")
             return
         database, digest = decode(words[1]), digest_of_key(decode(words[2]))
-        route = await self._route(database)
+        route = await self._wait_for_route(database)
         if route is None:
             detail = f"no route leads to {database}; check the name"
             await self._refuse(stream, RefusalKind.UNKNOWN_DATABASE, detail)
@@ -137,9 +137,9 @@
         channel = LineChannel(stream, reader)
         await self._proxy.sessions.serve(channel, database, digest, caller)
 
-    async def _route(self, database: str) -> Route | None:
+    async def _wait_for_route(self, database: str) -> Route | None:
         state = self._proxy.state
-        with trio.move_on_after(CONFIGURATION_WAIT_S):
+        with trio.move_on_after(CONFIGURATION_TIMEOUT_S):
             while state.version == 0:
                 await state.leadership_changed()
         return state.configuration.routes.get(database)
--- a/wharftiller/platform/endpoints.py
+++ b/wharftiller/platform/endpoints.py
@@ -74,9 +74,9 @@
         Name in the greeting of connections that belong to no workspace.
     """
 
-    def __init__(self, transport: Transport, caller: str) -> None:
+    def __init__(self, transport: Transport, box: str) -> None:
         self._transport = transport
-        self._caller = caller
+        self._box = box
 
     async def open(
         self, entry: EndpointEntry, via: str | None = None, workspace: str = ""
@@ -88,7 +88,7 @@
             stream = await open_through(self._transport, via, entry.address)
         connection: LineConnection | None = None
         try:
-            connection = await self._greet(stream, entry, workspace or self._caller)
+            connection = await self._handshake(stream, entry, workspace or self._box)
             return connection
         finally:
             if connection is None:
@@ -96,9 +96,11 @@
                     await trio.aclose_forcefully(stream)
 
     @staticmethod
-    async def _greet(stream: trio.abc.Stream, entry: EndpointEntry, who: str) -> LineConnection:
+    async def _handshake(
+        stream: trio.abc.Stream, entry: EndpointEntry, user: str
+    ) -> LineConnection:
         reader = LineReader(stream)
-        greeting = f"CONNECT {entry.group} {who} {entry.name}\r\n"
+        greeting = f"CONNECT {entry.group} {user} {entry.name}\r\n"
         try:
             await stream.send_all(greeting.encode())
         except trio.BrokenResourceError as error:
--- a/wharftiller/platform/objects.py
+++ b/wharftiller/platform/objects.py
@@ -47,10 +47,10 @@
 ENDPOINT_KIND = "servers"
 """Kind of the objects by which endpoints register themselves."""
 
-LEADS = "primary"
-LEAVES = "draining"
-ENDPOINT_ROLES = frozenset({LEADS, "replica"})
-ENDPOINT_STATES = frozenset({"ready", LEAVES})
+PRIMARY_ROLE = "primary"
+LEAVING_STATE = "draining"
+ENDPOINT_ROLES = frozenset({PRIMARY_ROLE, "replica"})
+ENDPOINT_STATES = frozenset({"ready", LEAVING_STATE})
 """Values of an endpoint's role and state."""
 
 STARTED_FIELD = "born"
@@ -68,7 +68,7 @@
 BOX_PREFIX = "box."
 """Prefix of a box's name in the name of its object."""
 
-AFTER_BOXES = "box/"
+BOX_PREFIX_END = "box/"
 """Sorts after the names of all boxes' objects and before the leadership record's: lists are sorted
 by name."""
 
@@ -126,24 +126,26 @@
     routes = [_route(each) for each in document["Routes"]]
     groups = [_group(each) for each in document["Services"]]
     idle_ms = (document.get("Limits") or {}).get("TxIdleMs") or DEFAULT_TX_IDLE_MS
-    listed = document["Tenants"] if needs_workspaces else document.get("Tenants")
-    kept = document if listed is None else {**document, "Tenants": [_tenant(t) for t in listed]}
+    tenants = document["Tenants"] if needs_workspaces else document.get("Tenants")
+    sanitized = (
+        document if tenants is None else {**document, "Tenants": [_tenant(t) for t in tenants]}
+    )
     return SessionConfiguration(
         int(document["Version"]),
         {route.database: route for route in routes},
         {group.name: group for group in groups},
         float(idle_ms) / 1000,
-        None if listed is None else _workspaces(kept["Tenants"]),
-        kept,
+        None if tenants is None else _workspaces(sanitized["Tenants"]),
+        sanitized,
     )
 
 
 def _tenant(value: Any) -> dict[str, Any]:
     """Return a workspace of the document with its keys replaced by their digests."""
-    kept = {name: field for name, field in value.items() if name != KEYS_FIELD}
+    sanitized = {name: field for name, field in value.items() if name != KEYS_FIELD}
     if KEYS_FIELD in value:
-        kept[DIGESTS_FIELD] = [digest_of_key(str(key)) for key in value[KEYS_FIELD]]
-    return kept
+        sanitized[DIGESTS_FIELD] = [digest_of_key(str(key)) for key in value[KEYS_FIELD]]
+    return sanitized
 
 
 def _workspaces(tenants: list[dict[str, Any]]) -> WorkspaceDirectory:
@@ -181,12 +183,12 @@
 
 
 def _consistency(value: Any) -> Consistency:
-    age_s = float(value.get("MaxStalenessMs") or 0) / 1000
+    max_age_s = float(value.get("MaxStalenessMs") or 0) / 1000
     match value.get("Kind"):
         case "bounded_staleness":
-            return BoundedReads(age_s)
+            return BoundedReads(max_age_s)
         case "read_own_writes":
-            return OwnWritesReads(age_s)
+            return OwnWritesReads(max_age_s)
         case _:
             # The strictest consistency satisfies unknown kinds too.
             return PrimaryReads()
@@ -208,14 +210,14 @@
         split_address(address)
     except ValueError as error:
         raise EndpointNotUnderstoodError(str(error)) from None
-    state = _word(spec, "State", ENDPOINT_STATES)
+    state = _choice(spec, "State", ENDPOINT_STATES)
     return EndpointEntry(
         name=stored.name,
         group=_text(spec, "Service"),
         address=address,
         data_centre=_text(spec, "Zone"),
-        leads=_word(spec, "DbRole", ENDPOINT_ROLES) == LEADS,
-        leaving=state == LEAVES,
+        leads=_choice(spec, "DbRole", ENDPOINT_ROLES) == PRIMARY_ROLE,
+        leaving=state == LEAVING_STATE,
         leaving_serves_s=bounds.leaving_serves_s,
         started_ms=_started_ms(spec),
     )
@@ -228,10 +230,10 @@
     return value
 
 
-def _word(spec: dict[str, Any], name: str, known: frozenset[str]) -> str:
+def _choice(spec: dict[str, Any], name: str, allowed: frozenset[str]) -> str:
     value = _text(spec, name)
-    if value not in known:
-        raise EndpointNotUnderstoodError(f"its {name} is none of {', '.join(sorted(known))}")
+    if value not in allowed:
+        raise EndpointNotUnderstoodError(f"its {name} is none of {', '.join(sorted(allowed))}")
     return value
 
 
@@ -251,7 +253,7 @@
     def __init__(self, bounds: PlatformBounds, log: DecisionLog) -> None:
         self._bounds = bounds
         self._log = log
-        self._said: dict[str, int] = {}
+        self._reported: dict[str, int] = {}
 
     def decode(self, objects: dict[str, StoredObject]) -> list[EndpointEntry]:
         """Return the valid endpoints; invalid ones are logged and skipped."""
@@ -260,13 +262,15 @@
             try:
                 entries.append(decode_endpoint(stored, self._bounds))
             except EndpointNotUnderstoodError as error:
-                self._say(stored, str(error))
-        self._said = {name: said for name, said in self._said.items() if name in objects}
+                self._log_invalid(stored, str(error))
+        self._reported = {
+            name: revision for name, revision in self._reported.items() if name in objects
+        }
         return entries
 
-    def _say(self, stored: StoredObject, why: str) -> None:
-        if self._said.get(stored.name) != stored.revision:
-            self._said[stored.name] = stored.revision
+    def _log_invalid(self, stored: StoredObject, why: str) -> None:
+        if self._reported.get(stored.name) != stored.revision:
+            self._reported[stored.name] = stored.revision
             self._log.event("endpoint_not_understood", endpoint=stored.name, why=why)
 
 
@@ -277,7 +281,7 @@
         self._store = store
         self._log = log
         self._last: PlatformSnapshot | None = None
-        self._is_calm = False
+        self._is_unchanged = False
 
     async def read(self) -> PlatformSnapshot:
         """Read the current snapshot.
@@ -287,19 +291,19 @@
         saves the transfer of all boxes' objects between data centres.
         """
         last = self._last
-        if last is not None and self._is_calm:
-            _, revision = await self._store.list_all(OWN_KIND, after=AFTER_BOXES)
+        if last is not None and self._is_unchanged:
+            _, revision = await self._store.list_all(OWN_KIND, after=BOX_PREFIX_END)
             if revision == last.revision:
                 return last
-        listing = await self._read_all()
-        self._is_calm = last is not None and listing.revision == last.revision
-        self._last = listing
-        return listing
+        snapshot = await self._read_all()
+        self._is_unchanged = last is not None and snapshot.revision == last.revision
+        self._last = snapshot
+        return snapshot
 
     async def _read_all(self) -> PlatformSnapshot:
         objects, revision = await self._store.list_all(OWN_KIND)
         boxes: dict[str, Box] = {}
-        marks: dict[str, int] = {}
+        tombstones: dict[str, int] = {}
         record = LeadershipRecord(era=era_of(revision))
         for name, stored in objects.items():
             if name == RECORD_NAME:
@@ -309,9 +313,9 @@
                 if box is not None:
                     boxes[box.name] = box
                     if box.retired:
-                        marks[box.name] = stored.revision
+                        tombstones[box.name] = stored.revision
         revisions = {name: stored.revision for name, stored in objects.items()}
-        return PlatformSnapshot(record, boxes, revision, marks, revisions)
+        return PlatformSnapshot(record, boxes, revision, tombstones, revisions)
 
     def _decode_box(self, stored: StoredObject) -> Box | None:
         try:
@@ -327,17 +331,17 @@
         except BadRequestError as error:
             raise PlatformUnavailableError(str(error)) from error
         # A record of an earlier era may be older than an update acknowledged in that era.
-        written_in = stored.spec.get(ERA_FIELD)
+        record_era = stored.spec.get(ERA_FIELD)
         era = era_of(stored.revision)
-        is_confirmed = written_in is None or written_in == era
+        is_confirmed = record_era is None or record_era == era
         return attrs.evolve(record, is_confirmed=is_confirmed, era=era)
 
     async def register(self, box: Box) -> None:
         """Add ``box`` to the list, or replace the entry of its former process."""
         name = BOX_PREFIX + box.name
         spec = attrs.asdict(box)
-        stands = await self._store.put(OWN_KIND, name, spec, 0)
-        if stands.spec != spec:
+        stored = await self._store.put(OWN_KIND, name, spec, 0)
+        if stored.spec != spec:
             await self._store.put(OWN_KIND, name, spec, None)
 
     async def retire(self, box: Box, by: str) -> None:
@@ -353,5 +357,5 @@
     async def replace_record(self, record: LeadershipRecord) -> LeadershipRecord:
         """Replace the record if it is at ``record.revision``; return the one then stored."""
         spec = {**record_to_json(record), ERA_FIELD: self._store.era}
-        stands = await self._store.put(OWN_KIND, RECORD_NAME, spec, record.revision)
-        return self._record(stands)
+        stored = await self._store.put(OWN_KIND, RECORD_NAME, spec, record.revision)
+        return self._record(stored)
--- a/wharftiller/platform/settings.py
+++ b/wharftiller/platform/settings.py
@@ -17,13 +17,13 @@
 METRICS_PORT = 9464
 """Port of the metrics page; declared to the platform in deploy/system.toml."""
 
-KEPT_FOR_FILES = 200
+RESERVED_FOR_FILES = 200
 """File descriptors out of `MaxFds` that are reserved for files."""
 
-LONGEST_BOUND_S = 3600.0
+MAX_BOUND_S = 3600.0
 """Exclusive limit of a bound, in seconds; a longer one is probably given in a wrong unit."""
 
-MS = 0.001
+MILLISECOND_S = 0.001
 """One millisecond, in seconds."""
 
 MIN_QUOTA_WINDOW_S = 0.1
@@ -103,7 +103,7 @@
 
     limits = BoxLimits(
         descriptors=int(number("MaxFds", defaults.descriptors)),
-        kept_for_files=KEPT_FOR_FILES,
+        kept_for_files=RESERVED_FOR_FILES,
         memory_mb=number("MemoryMb", defaults.memory_mb),
     )
     limits.check()
@@ -113,51 +113,53 @@
 def _bounds(value: dict[str, Any], path: str) -> PlatformBounds:
     """Return the bounds; those of the contracts in force are required."""
     contracts = value.get("Contracts") or ()
-    stated = value["Bounds"]
+    bounds = value["Bounds"]
     defaults = PlatformBounds()
 
-    def seconds(name: str, needed: bool, unit_s: float, default_s: float) -> float:
-        if name not in stated and not needed:
+    def seconds(name: str, is_required: bool, unit_s: float, default_s: float) -> float:
+        if name not in bounds and not is_required:
             return default_s
-        given = stated.get(name)
+        given = bounds.get(name)
         is_number = isinstance(given, int | float) and not isinstance(given, bool)
-        if not is_number or not 0 < given * unit_s < LONGEST_BOUND_S:
-            most = LONGEST_BOUND_S / unit_s
+        if not is_number or not 0 < given * unit_s < MAX_BOUND_S:
+            maximum = MAX_BOUND_S / unit_s
             raise PlatformSettingsError(
-                f"{path}: Bounds.{name} is {given!r}; give a number above 0 and below {most:.0f},"
-                f" as the platform documents it"
+                f"{path}: Bounds.{name} is {given!r}; give a number above 0 and below"
+                f" {maximum:.0f}, as the platform documents it"
             )
         return float(given * unit_s)
 
     return PlatformBounds(
         grace_s=seconds("GraceS", True, 1.0, defaults.grace_s),
         # How long a leaving endpoint still serves; the platform calls this draining.
-        leaving_serves_s=seconds("DrainMs", "drain" in contracts, MS, defaults.leaving_serves_s),
+        leaving_serves_s=seconds(
+            "DrainMs", "drain" in contracts, MILLISECOND_S, defaults.leaving_serves_s
+        ),
         configuration_in_force_s=seconds(
-            "ConfigApplyMs", "config" in contracts, MS, defaults.configuration_in_force_s
+            "ConfigApplyMs", "config" in contracts, MILLISECOND_S, defaults.configuration_in_force_s
         ),
         allowances=_allowance_bounds(value, "quota" in contracts, path),
     )
 
 
-def _allowance_bounds(value: dict[str, Any], needed: bool, path: str) -> AllowanceBounds:
+def _allowance_bounds(value: dict[str, Any], is_required: bool, path: str) -> AllowanceBounds:
     """Return the bounds of allowances, which the platform calls quotas."""
-    stated = value["Bounds"]
+    bounds = value["Bounds"]
     defaults = AllowanceBounds()
 
-    def number(name: str, least: float, default: float) -> float:
-        if name not in stated and not needed:
+    def number(name: str, minimum: float, default: float) -> float:
+        if name not in bounds and not is_required:
             return default
-        given = stated.get(name)
-        if not isinstance(given, int | float) or isinstance(given, bool) or given < least:
+        given = bounds.get(name)
+        if not isinstance(given, int | float) or isinstance(given, bool) or given < minimum:
             raise PlatformSettingsError(
-                f"{path}: Bounds.{name} is {given!r}; give a number of {least:g} or more, as the"
+                f"{path}: Bounds.{name} is {given!r}; give a number of {minimum:g} or more, as the"
                 f" platform documents it"
             )
         return float(given)
 
     centres = tuple(sorted(map(str, value.get("Zones") or ())))
-    if needed and value["Zone"] not in centres:
+    if is_required and value["Zone"] not in centres:
         # Each data centre grants its share: an unlisted one would exceed the allowance.
         raise PlatformSettingsError(
             f"{path}: Zones lists {', '.join(centres) or 'nothing'}; list every data centre,"
--- a/wharftiller/platform/store.py
+++ b/wharftiller/platform/store.py
@@ -35,7 +35,7 @@
 to other changes. Combined with the era, a revision is unique and increases over restorations.
 """
 
-WATCH_SLACK_S = 3.0
+WATCH_MARGIN_S = 3.0
 """Time limit of a watch's response beyond its wait, in seconds."""
 
 
@@ -117,13 +117,13 @@
             raise PlatformUnavailableError(f"{method} {path}: {error}") from error
         if answer.status in (429, 503) or answer.status >= 500:
             raise PlatformUnavailableError(f"{method} {path}: answered {answer.status}")
-        return _Answer(answer.status, value, self._note_era(answer.headers.get(ERA_HEADER)))
+        return _Answer(answer.status, value, self._record_era(answer.headers.get(ERA_HEADER)))
 
-    def _note_era(self, told: str | None) -> int:
+    def _record_era(self, header: str | None) -> int:
         """Record and return the era in a response's header; the last known one if it is missing."""
-        if told is None or not told.isdecimal():
+        if header is None or not header.isdecimal():
             return self.era
-        era = int(told)
+        era = int(header)
         if era < self.era:
             raise PlatformUnavailableError(f"a response of era {era} came in era {self.era}")
         if era > self.era:
@@ -152,7 +152,7 @@
         after : str
             Return only objects whose names sort after it.
         """
-        found: dict[str, StoredObject] = {}
+        objects: dict[str, StoredObject] = {}
         query = f"?after={quote(after)}" if after else ""
         first_era: int | None = None
         while True:
@@ -161,10 +161,10 @@
             first_era = answer.era if first_era is None else first_era
             if answer.era != first_era:
                 raise PlatformUnavailableError(f"the platform was restored during a list of {kind}")
-            items, revision, more = _parse_page(answer)
-            found.update({item.name: item for item in items})
-            if not more or not items:
-                return found, revision
+            items, revision, has_more = _parse_page(answer)
+            objects.update({item.name: item for item in items})
+            if not has_more or not items:
+                return objects, revision
             query = f"?after={quote(items[-1].name)}"
 
     async def put(self, kind: str, name: str, spec: Any, revision: int | None) -> StoredObject:
@@ -210,7 +210,7 @@
         if era != self.era:
             return None
         path = f"/v1/objects/{kind}?Watch={revision % ERA_REVISIONS}&WaitMs={WATCH_WAIT_MS}"
-        timeout_s = WATCH_WAIT_MS / 1000 + WATCH_SLACK_S
+        timeout_s = WATCH_WAIT_MS / 1000 + WATCH_MARGIN_S
         answer = await self._call_on(client, "GET", path, None, timeout_s)
         if answer.status == 410 or answer.era != era:
             # The events of another era lack the changes up to the reused revision.
@@ -228,9 +228,9 @@
             raise PlatformUnavailableError(f"invalid change of {kind}: {error!r}") from None
 
 
-def _revision(told: Any, era: int) -> int:
+def _revision(number: Any, era: int) -> int:
     """Return the platform's revision combined with its era."""
-    return era * ERA_REVISIONS + int(told)
+    return era * ERA_REVISIONS + int(number)
 
 
 def era_of(revision: int) -> int:
--- a/wharftiller/platform/watches.py
+++ b/wharftiller/platform/watches.py
@@ -38,10 +38,10 @@
 A large configuration takes longer over a slow link than the limit of other calls.
 """
 
-GATHER_S = 0.15
+BATCH_DELAY_S = 0.15
 """Delay before the next watch, in seconds, so that it returns several changes at once."""
 
-MISSED_AFTER_S = 0.2
+MISSED_CHANGE_DELAY_S = 0.2
 """Time after which a change that the watch has not returned counts as missed, in seconds."""
 
 Objects = dict[str, "StoredObject"]
@@ -52,7 +52,7 @@
 
     Parameters
     ----------
-    take : callable
+    apply : callable
         Called with all objects and their revision; returns whether anything changed.
     missed : callable
         Called when a list shows a change that the watch did not return.
@@ -66,82 +66,82 @@
         self,
         store: ObjectStore,
         kind: str,
-        take: Callable[[Objects, int], bool],
+        apply: Callable[[Objects, int], bool],
         missed: Callable[[], None],
-        account: RevisionTracker,
+        tracker: RevisionTracker,
         list_timeout_s: float,
         log: DecisionLog,
     ) -> None:
         self._store = store
-        self._account = account
+        self._tracker = tracker
         self._list_timeout_s = list_timeout_s
         self._kind = kind
-        self._take = take
+        self._apply = apply
         self._missed = missed
         self._log = log
-        self._watching: trio.CancelScope | None = None
-        self._verified = 0
+        self._watch_scope: trio.CancelScope | None = None
+        self._verified_revision = 0
         self._revision = 0
         self._wanted = trio.Event()
 
     @property
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         """Whether this box watches the objects itself."""
         return self._wanted.is_set()
 
     async def run(self) -> None:
         """Watch until cancelled, while wanted."""
         client = self._store.new_client()
-        pause_s = RETRY_S
+        delay_s = RETRY_S
         objects: Objects | None = None
         while True:
-            if not self.wanted:
+            if not self.is_wanted:
                 objects = None
                 await self._wanted.wait()
                 continue
             try:
                 if objects is None:
                     objects = await self._list(client)
-                with trio.CancelScope() as self._watching:
-                    objects = await self._next(client, objects)
-                if self._watching.cancelled_caught:
+                with trio.CancelScope() as self._watch_scope:
+                    objects = await self._watch_next(client, objects)
+                if self._watch_scope.cancelled_caught:
                     objects = None
-                self._watching = None
-                pause_s = RETRY_S
+                self._watch_scope = None
+                delay_s = RETRY_S
             except PlatformUnavailableError as error:
                 self._log.event("watch_failed", kind=self._kind, why=str(error))
-                await trio.sleep(pause_s)
-                pause_s = min(MAX_RETRY_S, pause_s * 2)
+                await trio.sleep(delay_s)
+                delay_s = min(MAX_RETRY_S, delay_s * 2)
 
     async def _list(self, client: HttpClient) -> Objects:
-        followed_before = self._revision > 0
+        was_listed = self._revision > 0
         objects, self._revision = await self._store.list_all(
             self._kind, client, self._list_timeout_s
         )
-        self._verified = max(self._verified, self._revision)
-        self._account.saw(stored.revision for stored in objects.values())
+        self._verified_revision = max(self._verified_revision, self._revision)
+        self._tracker.saw(stored.revision for stored in objects.values())
         # The first list of a starting box reports no missed change: otherwise each start would
         # make all other boxes list the objects again.
-        if self._take(objects, self._revision) and followed_before:
+        if self._apply(objects, self._revision) and was_listed:
             self._missed()
         return objects
 
-    async def _next(self, client: HttpClient, objects: Objects) -> Objects | None:
+    async def _watch_next(self, client: HttpClient, objects: Objects) -> Objects | None:
         """Return the objects after the next change; None if they must be listed again."""
-        told = await self._store.watch(client, self._kind, self._revision)
-        if told is None:
+        watched = await self._store.watch(client, self._kind, self._revision)
+        if watched is None:
             self._log.change("watch_history_lost", kind=self._kind)
             return None
-        self._revision = told.revision
-        self._account.saw(changed.revision for _, changed in told.changes)
-        for gone, changed in told.changes:
-            if gone:
+        self._revision = watched.revision
+        self._tracker.saw(changed.revision for _, changed in watched.changes)
+        for is_deleted, changed in watched.changes:
+            if is_deleted:
                 objects.pop(changed.name, None)
             else:
                 objects[changed.name] = changed
-        if told.changes:
-            self._take(dict(objects), told.revision)
-            await trio.sleep(GATHER_S)
+        if watched.changes:
+            self._apply(dict(objects), watched.revision)
+            await trio.sleep(BATCH_DELAY_S)
         return objects
 
     def follow(self, wanted: bool) -> None:
@@ -150,16 +150,16 @@
             self._wanted.set()
             return
         self._wanted = trio.Event()
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._watch_scope is not None:
+            self._watch_scope.cancel()
 
-    def read_anew(self, revision: int) -> None:
+    def list_again(self, revision: int) -> None:
         """List the objects again unless they are known up to ``revision``."""
-        if not self.wanted or revision <= max(self._verified, self._revision):
+        if not self.is_wanted or revision <= max(self._verified_revision, self._revision):
             return
-        self._verified = revision
-        if self._watching is not None:
-            self._watching.cancel()
+        self._verified_revision = revision
+        if self._watch_scope is not None:
+            self._watch_scope.cancel()
 
 
 class PlatformWatches:
@@ -185,47 +185,47 @@
         self._state = state
         self._log = log
         self._nursery: trio.Nursery | None = None
-        self._account = RevisionTracker()
+        self._tracker = RevisionTracker()
         list_s = LIST_FRACTION * bounds.configuration_in_force_s
         kinds = [
-            (CONFIGURATION_KIND, self._take_configuration),
-            (ENDPOINT_KIND, self._take_endpoints),
+            (CONFIGURATION_KIND, self._apply_configuration),
+            (ENDPOINT_KIND, self._apply_endpoints),
         ]
-        self._followers = [
-            KindWatcher(store, kind, take, missed, self._account, list_s, log)
-            for kind, take in kinds
+        self._watchers = [
+            KindWatcher(store, kind, apply, missed, self._tracker, list_s, log)
+            for kind, apply in kinds
         ]
 
     def start(self, nursery: trio.Nursery) -> None:
         """Start the watchers of both kinds."""
         self._nursery = nursery
-        for follower in self._followers:
-            nursery.start_soon(follower.run)
+        for watcher in self._watchers:
+            nursery.start_soon(watcher.run)
 
     def follow(self, wanted: bool) -> None:
         """Start or stop watching both kinds; while stopped, another box sends their changes."""
-        for follower in self._followers:
-            if follower.wanted != wanted:
-                follower.follow(wanted)
+        for watcher in self._watchers:
+            if watcher.is_wanted != wanted:
+                watcher.follow(wanted)
 
     def noticed(self, listing: PlatformSnapshot) -> None:
         """List the objects again if changes up to the snapshot's revision were missed."""
         assert self._nursery is not None
-        self._account.listed(listing.revisions, listing.revision)
-        if self._account.misses(listing.revision):
-            self._nursery.start_soon(self._look_for, listing.revision)
+        self._tracker.listed(listing.revisions, listing.revision)
+        if self._tracker.misses(listing.revision):
+            self._nursery.start_soon(self._list_missed, listing.revision)
         else:
-            self._account.settle(listing.revision)
+            self._tracker.settle(listing.revision)
 
-    async def _look_for(self, revision: int) -> None:
+    async def _list_missed(self, revision: int) -> None:
         """List again unless the watches return all changes up to ``revision`` shortly."""
-        await trio.sleep(MISSED_AFTER_S)
-        if self._account.misses(revision):
-            for follower in self._followers:
-                follower.read_anew(revision)
-        self._account.settle(revision)
+        await trio.sleep(MISSED_CHANGE_DELAY_S)
+        if self._tracker.misses(revision):
+            for watcher in self._watchers:
+                watcher.list_again(revision)
+        self._tracker.settle(revision)
 
-    def _take_configuration(self, objects: Objects, revision: int) -> bool:
+    def _apply_configuration(self, objects: Objects, revision: int) -> bool:
         stored = objects.get(CONFIGURATION_NAME)
         if stored is None:
             return False
@@ -236,5 +236,5 @@
             return False
         return self._state.take_configuration(configuration, "platform")
 
-    def _take_endpoints(self, objects: Objects, revision: int) -> bool:
+    def _apply_endpoints(self, objects: Objects, revision: int) -> bool:
         return self._state.endpoints.take(self._decoder.decode(objects), revision)
--- a/wharftiller/platform/wire.py
+++ b/wharftiller/platform/wire.py
@@ -40,10 +40,10 @@
 READ_BYTES = 16_384
 """Bytes read from a stream at once."""
 
-OWN_ID = "-"
+ABSENT = "-"
 """Id of this box's own statements; also stands for an absent proof or position."""
 
-REFUSALS = {
+REFUSAL_KINDS = {
     "BUSY": RefusalKind.NO_CAPACITY,
     "ABORTED": RefusalKind.ROLLED_BACK,
     "LAGGING": RefusalKind.REPLICA_BEHIND,
@@ -61,19 +61,19 @@
 }
 """The protocol's error codes; an unknown code is parsed as `RefusalKind.OTHER`."""
 
-CODES = {kind: code for code, kind in REFUSALS.items()} | {RefusalKind.OTHER: "FAILED"}
+CODES = {kind: code for code, kind in REFUSAL_KINDS.items()} | {RefusalKind.OTHER: "FAILED"}
 """Error codes sent to callers."""
 
-STATES = {
+SESSION_STATES = {
     "I": SessionState.IDLE,
     "T": SessionState.IN_TRANSACTION,
     "E": SessionState.FAILED,
 }
 """The protocol's codes of session states."""
 
-STATE_WORDS = {state: word for word, state in STATES.items()}
+STATE_CODES = {state: word for word, state in SESSION_STATES.items()}
 
-ACCESS_WORDS = {"READ": Access.READ, "WRITE": Access.WRITE}
+ACCESS_KINDS = {"READ": Access.READ, "WRITE": Access.WRITE}
 
 
 class LineReader:
@@ -133,15 +133,15 @@
     ValueError
         If ``word`` is neither.
     """
-    if word == OWN_ID:
+    if word == ABSENT:
         return None
     term, _, number = word.partition(".")
     return LogPosition(int(term), int(number))
 
 
-def position_word(position: LogPosition | None) -> str:
+def format_position(position: LogPosition | None) -> str:
     """Return a log position in the protocol's form; ``-`` for None."""
-    return OWN_ID if position is None else f"{position.term}.{position.index}"
+    return ABSENT if position is None else f"{position.term}.{position.index}"
 
 
 def parse_statement(line: bytes) -> Statement:
@@ -178,7 +178,7 @@
         case ["SET", name, *rest] if rest:
             return SetValue(name, " ".join(rest))
         case ["PREPARE", name, ("READ" | "WRITE") as access, *rest] if rest:
-            return Prepare(name, PreparedStatement(ACCESS_WORDS[access], " ".join(rest)))
+            return Prepare(name, PreparedStatement(ACCESS_KINDS[access], " ".join(rest)))
         case ["EXECUTE", name, *rest] if rest:
             return Execute(name, " ".join(rest))
         case ["DEALLOC", name]:
@@ -190,13 +190,13 @@
 def encode_query(query: EndpointQuery) -> bytes:
     """Return the line that sends ``query`` to an endpoint."""
     statement = query.statement
-    request_id = OWN_ID if statement is None else statement.request_id
-    after = "" if query.after is None else f"AFTER {position_word(query.after)} "
-    text = _text_of(query.body, statement)
+    request_id = ABSENT if statement is None else statement.request_id
+    after = "" if query.after is None else f"AFTER {format_position(query.after)} "
+    text = _format_body(query.body, statement)
     return encode(f"QUERY {request_id} {after}{text}\r\n")
 
 
-def _text_of(body: EndpointBody, statement: Statement | None) -> str:
+def _format_body(body: EndpointBody, statement: Statement | None) -> str:
     match body:
         case Execute(name, arguments):
             return f"EXECUTE {name} {arguments}"
@@ -255,13 +255,13 @@
 def parse_refusal(rest: str) -> Refusal:
     """Parse the code and text of an error."""
     code, _, detail = rest.partition(" ")
-    return Refusal(REFUSALS.get(code, RefusalKind.OTHER), detail or code)
+    return Refusal(REFUSAL_KINDS.get(code, RefusalKind.OTHER), detail or code)
 
 
 def _parse_ready(rest: str) -> tuple[SessionState, LogPosition | None]:
     state, _, position = rest.partition(" ")
     try:
-        return STATES[state], parse_position(position or OWN_ID)
+        return SESSION_STATES[state], parse_position(position or ABSENT)
     except (KeyError, ValueError):
         raise ExchangeError(
             f"the endpoint sent READY {rest[:40]!r}, which has no valid state and position"
@@ -272,10 +272,10 @@
     """Return the lines of the reply to a caller's statement."""
     parts = [b"ROW " + row + b"\r\n" for row in reply.rows]
     if reply.refusal is None:
-        parts.append(encode(f"COMPLETE {reply.proof or OWN_ID}\r\n"))
+        parts.append(encode(f"COMPLETE {reply.proof or ABSENT}\r\n"))
     else:
         parts.append(encode_refusal(reply.refusal))
-    parts.append(f"READY {STATE_WORDS[reply.state]} {position_word(reply.position)}\r\n".encode())
+    parts.append(f"READY {STATE_CODES[reply.state]} {format_position(reply.position)}\r\n".encode())
     return b"".join(parts)
 
 
