--- a/wharftiller/edges/allowances_json.py
+++ b/wharftiller/edges/allowances_json.py
@@ -105,7 +105,7 @@
         ) from None
     if workspace is None or not 0 <= held < MAX_LENT:
         raise BadRequestError(
-            f"a request for a loan needs a workspace, and held from 0 to {MAX_LENT:g}"
+            "a request for a loan needs a workspace, and held from 0 to below 1e12"
         )
     return workspace, request
 
--- a/wharftiller/edges/http_server.py
+++ b/wharftiller/edges/http_server.py
@@ -65,7 +65,7 @@
 
 
 MIN_COMPRESSED_BYTES = 4_096
-"""Size from which bodies are compressed, in bytes: it saves at least two or three packets."""
+"""Size from which bodies are compressed, in bytes: this saves two or more packets."""
 
 COMPRESSION_LEVEL = 1
 """Lowest effort of zlib."""
--- a/wharftiller/platform/objects.py
+++ b/wharftiller/platform/objects.py
@@ -93,7 +93,7 @@
 """Field that replaces `KEYS_FIELD` in the documents that boxes send each other."""
 
 
-class EndpointNotUnderstoodError(WharfError):
+class InvalidEndpointError(WharfError):
     """An object of the endpoints' kind that does not describe an endpoint."""
 
     kind = "endpoint_not_understood"
@@ -199,17 +199,17 @@
 
     Raises
     ------
-    EndpointNotUnderstoodError
+    InvalidEndpointError
         If a field is missing or invalid.
     """
     spec = stored.spec
     if not isinstance(spec, dict):
-        raise EndpointNotUnderstoodError("it is not a table of fields")
+        raise InvalidEndpointError("it is not a table of fields")
     address = _text(spec, "Address")
     try:
         split_address(address)
     except ValueError as error:
-        raise EndpointNotUnderstoodError(str(error)) from None
+        raise InvalidEndpointError(str(error)) from None
     state = _choice(spec, "State", ENDPOINT_STATES)
     return EndpointEntry(
         name=stored.name,
@@ -226,14 +226,14 @@
 def _text(spec: dict[str, Any], name: str) -> str:
     value = spec.get(name)
     if not isinstance(value, str) or not value:
-        raise EndpointNotUnderstoodError(f"its {name} is missing or not a text")
+        raise InvalidEndpointError(f"its {name} is missing or not a text")
     return value
 
 
 def _choice(spec: dict[str, Any], name: str, allowed: frozenset[str]) -> str:
     value = _text(spec, name)
     if value not in allowed:
-        raise EndpointNotUnderstoodError(f"its {name} is none of {', '.join(sorted(allowed))}")
+        raise InvalidEndpointError(f"its {name} is none of {', '.join(sorted(allowed))}")
     return value
 
 
@@ -243,7 +243,7 @@
     if value is None:
         return None
     if not isinstance(value, int) or isinstance(value, bool):
-        raise EndpointNotUnderstoodError(f"its {STARTED_FIELD} is no whole number")
+        raise InvalidEndpointError(f"its {STARTED_FIELD} is no whole number")
     return value
 
 
@@ -261,7 +261,7 @@
         for stored in objects.values():
             try:
                 entries.append(decode_endpoint(stored, self._bounds))
-            except EndpointNotUnderstoodError as error:
+            except InvalidEndpointError as error:
                 self._log_invalid(stored, str(error))
         self._reported = {
             name: revision for name, revision in self._reported.items() if name in objects
--- a/wharftiller/tests/edges/test_bad_input.py
+++ b/wharftiller/tests/edges/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input: a typed error that names the remedy, nothing lost, the process goes on."""
+"""Invalid requests get a typed error, and later valid requests are still served."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from wharftiller.keys import bearer_header
 from wharftiller.tests.fakes.world import CLIENT, KEYS, POOL, World, run_world
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "pool": POOL,
     "business": "rila",
     "request_id": "q",
@@ -28,7 +28,7 @@
 
 
 async def exchange(world: World, data: bytes) -> bytes:
-    """Send bytes to a proxy and return what it says until it closes or falls silent."""
+    """Send bytes to a proxy and return all that it sends within a second."""
     stream = await world.network.connect(CLIENT, f"{world.ips['box-1']}:7100")
     await stream.send_all(data)
     received = b""
@@ -40,37 +40,37 @@
 
 
 def without(name: str) -> dict[str, Any]:
-    return {key: value for key, value in GOOD.items() if key != name}
+    return {key: value for key, value in VALID.items() if key != name}
 
 
-BAD_BODIES: list[tuple[bytes, str]] = [
+INVALID_BODIES: list[tuple[bytes, str]] = [
     (b'{"pool": "tou', "bad_request"),
     (b"[]", "bad_request"),
     (b"7", "bad_request"),
     (orjson.dumps(without("pool")), "bad_request"),
-    (orjson.dumps({**GOOD, "request_id": 7}), "bad_request"),
-    (orjson.dumps({**GOOD, "request_id": ""}), "bad_request"),
-    (orjson.dumps({**GOOD, "request_id": "x" * 200}), "bad_request"),
-    (orjson.dumps({**GOOD, "deadline_ms": 0}), "bad_request"),
-    (orjson.dumps({**GOOD, "deadline_ms": 10**18}), "bad_request"),
-    (orjson.dumps({**GOOD, "deadline_ms": 1.5}), "bad_request"),
-    (orjson.dumps({**GOOD, "max_age_ms": -1}), "bad_request"),
-    (orjson.dumps({**GOOD, "repeatable": "yes"}), "bad_request"),
-    (orjson.dumps({**GOOD, "kind": "delete"}), "bad_request"),
-    (orjson.dumps({**GOOD, "kind": "commit"}), "bad_request"),
-    (orjson.dumps({**GOOD, "max_agems": 5}), "bad_request"),
-    (orjson.dumps({**GOOD, "business": "pirin"}), "not_authenticated"),
-    (orjson.dumps({**GOOD, "session": "k1.forged.token"}), "bad_token"),
+    (orjson.dumps({**VALID, "request_id": 7}), "bad_request"),
+    (orjson.dumps({**VALID, "request_id": ""}), "bad_request"),
+    (orjson.dumps({**VALID, "request_id": "x" * 200}), "bad_request"),
+    (orjson.dumps({**VALID, "deadline_ms": 0}), "bad_request"),
+    (orjson.dumps({**VALID, "deadline_ms": 10**18}), "bad_request"),
+    (orjson.dumps({**VALID, "deadline_ms": 1.5}), "bad_request"),
+    (orjson.dumps({**VALID, "max_age_ms": -1}), "bad_request"),
+    (orjson.dumps({**VALID, "repeatable": "yes"}), "bad_request"),
+    (orjson.dumps({**VALID, "kind": "delete"}), "bad_request"),
+    (orjson.dumps({**VALID, "kind": "commit"}), "bad_request"),
+    (orjson.dumps({**VALID, "max_agems": 5}), "bad_request"),
+    (orjson.dumps({**VALID, "business": "pirin"}), "not_authenticated"),
+    (orjson.dumps({**VALID, "session": "k1.forged.token"}), "bad_token"),
 ]
 
 
 class TestBadInput:
     def test_bad_bodies_get_typed_errors_and_good_ones_still_run(self) -> None:
         async def scenario(world: World) -> None:
-            for body, kind in BAD_BODIES:
+            for body, kind in INVALID_BODIES:
                 answer = await exchange(world, raw(body))
                 assert f'"error":"{kind}"'.encode() in answer, (body, answer)
-            good = await exchange(world, raw(orjson.dumps(GOOD)))
+            good = await exchange(world, raw(orjson.dumps(VALID)))
             assert b'"outcome":"done"' in good
 
         run_world(scenario)
@@ -89,7 +89,7 @@
     def test_bad_http_is_refused(self, data: bytes, status: bytes) -> None:
         async def scenario(world: World) -> None:
             assert (await exchange(world, data)).startswith(b"HTTP/1.1 " + status)
-            assert b"done" in await exchange(world, raw(orjson.dumps(GOOD)))
+            assert b"done" in await exchange(world, raw(orjson.dumps(VALID)))
 
         run_world(scenario)
 
@@ -102,10 +102,10 @@
 
     def test_pipelined_requests_are_answered_in_their_order(self) -> None:
         async def scenario(world: World) -> None:
-            data = b"".join(raw(orjson.dumps({**GOOD, "request_id": f"q{n}"})) for n in range(8))
+            data = b"".join(raw(orjson.dumps({**VALID, "request_id": f"q{n}"})) for n in range(8))
             answer = await exchange(world, data)
-            places = [answer.index(f'"request_id":"q{n}"'.encode()) for n in range(8)]
-            assert places == sorted(places)
+            offsets = [answer.index(f'"request_id":"q{n}"'.encode()) for n in range(8)]
+            assert offsets == sorted(offsets)
 
         run_world(scenario)
 
@@ -117,8 +117,8 @@
                 ({"kind": "write", "statement": {"drop": "all"}}, "statement_rejected"),
                 ({"kind": "read", "statement": None}, "statement_rejected"),
             ):
-                told = await world.ask("box-1", **fields)
-                assert told.outcome == "not_run"
-                assert told.body["reason"] == reason
+                answer = await world.ask("box-1", **fields)
+                assert answer.outcome == "not_run"
+                assert answer.body["reason"] == reason
 
         run_world(scenario)
--- a/wharftiller/tests/edges/test_forwarded_json.py
+++ b/wharftiller/tests/edges/test_forwarded_json.py
@@ -1,4 +1,4 @@
-"""Statements between boxes, also between boxes of this version and the one before."""
+"""Encoding of forwarded statements, including compatibility with the previous version."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 def statement(workspace: Workspace | None) -> ForwardedStatement:
-    asked = Statement("id-1", "READ seat1", Direct(Access.READ))
-    return ForwardedStatement("box-1", workspace, ROUTE, asked, 0.1, {"lang": "bg"})
+    body = Statement("id-1", "READ seat1", Direct(Access.READ))
+    return ForwardedStatement("box-1", workspace, ROUTE, body, 0.1, {"lang": "bg"})
 
 
 class TestWorkspaces:
@@ -27,20 +27,20 @@
         "workspace",
         [None, Workspace("rila"), Workspace("rila", Allowance(6.0, 12.0))],
     )
-    def test_a_statement_carries_its_workspace(self, workspace: Workspace | None) -> None:
-        asked = statement(workspace)
-        assert statement_from_json(statement_to_json(asked)) == asked
+    def test_a_statement_includes_its_workspace(self, workspace: Workspace | None) -> None:
+        forwarded = statement(workspace)
+        assert statement_from_json(statement_to_json(forwarded)) == forwarded
 
-    def test_a_box_of_the_version_before_is_understood(self) -> None:
-        told = statement_to_json(statement(None))
-        del told["workspace"]
-        assert statement_from_json(told).workspace is None
+    def test_a_statement_of_the_previous_version_is_read(self) -> None:
+        value = statement_to_json(statement(None))
+        del value["workspace"]
+        assert statement_from_json(value).workspace is None
 
-    def test_a_box_of_the_version_before_finds_what_it_needs(self) -> None:
+    def test_a_statement_has_the_fields_of_the_previous_version(self) -> None:
         assert statement_to_json(statement(Workspace("rila")))["caller"] == ""
 
     @pytest.mark.parametrize("workspace", ["rila", ["rila"], ["rila", [1]], ["rila", "6"], 7])
-    def test_nonsense_is_refused(self, workspace: object) -> None:
-        told = {**statement_to_json(statement(None)), "workspace": workspace}
+    def test_an_invalid_workspace_is_refused(self, workspace: object) -> None:
+        value = {**statement_to_json(statement(None)), "workspace": workspace}
         with pytest.raises(BadRequestError):
-            statement_from_json(told)
+            statement_from_json(value)
--- a/wharftiller/tests/edges/test_platform.py
+++ b/wharftiller/tests/edges/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's edge against its stand-in, in virtual time."""
+"""The platform's client against a fake platform, in virtual time."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
         with_platform(scenario)
 
-    def test_kept_connection_that_was_closed_is_opened_anew(self) -> None:
+    def test_closed_connection_is_reopened(self) -> None:
         async def scenario(platform: Platform, client: PlatformClient) -> None:
             await client.update("k", 1, 0)
             platform.faults.outage = True
@@ -48,7 +48,7 @@
 
         with_platform(scenario)
 
-    def test_overtaken_update_is_a_conflict(self) -> None:
+    def test_update_of_an_old_version_is_a_conflict(self) -> None:
         async def scenario(platform: Platform, client: PlatformClient) -> None:
             await client.update("k", 1, 0)
             with pytest.raises(ConflictError, match="at version 1"):
@@ -57,7 +57,7 @@
 
         with_platform(scenario)
 
-    def test_outage_is_told(self) -> None:
+    def test_outage_is_reported(self) -> None:
         async def scenario(platform: Platform, client: PlatformClient) -> None:
             platform.faults.outage = True
             with pytest.raises(PlatformUnavailableError):
@@ -65,7 +65,7 @@
 
         with_platform(scenario)
 
-    def test_rate_limit_is_told(self) -> None:
+    def test_rate_limit_is_reported(self) -> None:
         async def scenario(platform: Platform, client: PlatformClient) -> None:
             platform.faults.reads_per_s = 1
             await client.read("k")
@@ -74,14 +74,14 @@
 
         with_platform(scenario)
 
-    def test_watch_returns_with_the_change(self) -> None:
+    def test_watch_returns_the_change(self) -> None:
         async def scenario(platform: Platform, client: PlatformClient) -> None:
             await client.update("k", 1, 0)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(client.update, "k", 2, 1)
-                seen = await client.watch("k", 1, 5.0)
-            assert seen is not None
-            assert seen.value == 2
+                watched = await client.watch("k", 1, 5.0)
+            assert watched is not None
+            assert watched.value == 2
             assert await client.watch("k", 2, 0.5) is None
 
         with_platform(scenario)
--- a/wharftiller/tests/platform/test_bad_input.py
+++ b/wharftiller/tests/platform/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input on every port and from the platform: a clear error or a close, and service goes on."""
+"""Invalid input on every port and from the platform must not interrupt the service."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from wharftiller.edges.leadership_json import record_from_json
 from wharftiller.edges.transport import TcpTransport
 from wharftiller.platform.objects import (
-    EndpointNotUnderstoodError,
+    InvalidEndpointError,
     decode_configuration,
     decode_endpoint,
 )
@@ -52,7 +52,7 @@
     ]
 )
 
-NONSENSE = [
+INVALID_INPUTS = [
     b"\x00\xff\xfe" * 50,
     b"GET / HTTP/1.1\r\n\r\n",
     b"CONNECT\r\n",
@@ -67,9 +67,9 @@
 
 class TestPorts:
     @pytest.mark.parametrize("port", [1, 2, 3, 4, 5])
-    def test_nonsense_ends_no_process(self, port: int) -> None:
-        async def story(world: World) -> None:
-            for data in NONSENSE:
+    def test_invalid_input_does_not_end_the_process(self, port: int) -> None:
+        async def scenario(world: World) -> None:
+            for data in INVALID_INPUTS:
                 stream = await world.network.host("10.8.0.2").connect(f"10.1.0.1:{port}")
                 with trio.move_on_after(1):
                     await stream.send_all(data)
@@ -79,31 +79,31 @@
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
 
-        run_in_world(story, boxes=1)
+        run_in_world(scenario, boxes=1)
 
-    def test_a_flood_of_connections_is_borne(self) -> None:
-        async def story(world: World) -> None:
+    def test_many_silent_connections_do_not_stop_the_service(self) -> None:
+        async def scenario(world: World) -> None:
             for _ in range(500):
                 await world.network.host("10.8.0.2").connect("10.1.0.1:1")
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
 
-        run_in_world(story, boxes=1)
+        run_in_world(scenario, boxes=1)
 
-    def test_running_out_of_descriptors_is_an_exchange_that_failed(
+    def test_running_out_of_descriptors_is_an_exchange_error(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        def none_left(*_: Any) -> Any:
+        def no_descriptors(*_: Any) -> Any:
             raise OSError(24, "Too many open files")
 
-        monkeypatch.setattr(trio.socket, "socket", none_left)
+        monkeypatch.setattr(trio.socket, "socket", no_descriptors)
         with pytest.raises(ExchangeError, match="Too many open files"):
             trio.run(TcpTransport().connect, "127.0.0.1:1")
 
 
 class TestObjects:
-    def test_objects_of_unknown_shape_are_passed_over(self) -> None:
-        async def story(world: World) -> None:
+    def test_invalid_objects_are_skipped(self) -> None:
+        async def scenario(world: World) -> None:
             world.store.set("servers", "strange", {"Service": None})
             world.store.set("servers", "stranger", 7)
             world.store.set("config", "main", {"Version": 9})
@@ -115,7 +115,7 @@
             assert box.events("configuration_not_understood")
             assert box.events("endpoint_not_understood")
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     @given(st.dictionaries(KEYS, JSON) | JSON)
     def test_a_record_is_read_or_refused(self, value: Any) -> None:
@@ -177,7 +177,7 @@
         assert load_settings(str(path)).bounds == PlatformBounds(3.0, 3.5, 1.5)
 
     @pytest.mark.parametrize("bounds", [[], 7, "none", None, ["GraceS"]])
-    def test_bounds_that_are_no_table_are_refused(self, bounds: Any, tmp_path: Path) -> None:
+    def test_bounds_that_are_not_a_table_are_refused(self, bounds: Any, tmp_path: Path) -> None:
         path = tmp_path / "settings.json"
         path.write_bytes(orjson.dumps({**self.SETTINGS, "Bounds": bounds}))
         with pytest.raises(PlatformSettingsError):
@@ -185,7 +185,7 @@
 
     @pytest.mark.parametrize("name", ["GraceS", "DrainMs", "ConfigApplyMs"])
     @pytest.mark.parametrize("value", [None, 0, -5, "7000", True, 10**9, [7000]])
-    def test_a_bound_without_sense_is_named_with_what_would_do(
+    def test_an_invalid_bound_is_named_with_the_valid_range(
         self, name: str, value: Any, tmp_path: Path
     ) -> None:
         path = tmp_path / "settings.json"
@@ -211,7 +211,7 @@
         "Bounds": {"GraceS": 6, "QuotaWindowS": 5, "QuotaOverrun": 0.1, "QuotaSlack": 20},
     }
 
-    def test_what_limits_allowances_is_read(self, tmp_path: Path) -> None:
+    def test_bounds_of_allowances_are_read(self, tmp_path: Path) -> None:
         path = tmp_path / "settings.json"
         path.write_bytes(orjson.dumps({**self.SETTINGS, **self.QUOTA}))
         bounds = load_settings(str(path)).bounds.allowances
@@ -219,7 +219,7 @@
 
     @pytest.mark.parametrize("name", ["QuotaWindowS", "QuotaOverrun", "QuotaSlack"])
     @pytest.mark.parametrize("value", [None, -1, "5", True])
-    def test_a_limit_of_allowances_without_sense_is_named(
+    def test_an_invalid_bound_of_allowances_is_named(
         self, name: str, value: Any, tmp_path: Path
     ) -> None:
         path = tmp_path / "settings.json"
@@ -235,7 +235,7 @@
         with pytest.raises(PlatformSettingsError, match=r"Zones lists .* this box's a"):
             load_settings(str(path))
 
-    def test_limits_are_taken_as_stated(self, tmp_path: Path) -> None:
+    def test_limits_are_read(self, tmp_path: Path) -> None:
         path = tmp_path / "settings.json"
         path.write_bytes(
             orjson.dumps({**self.SETTINGS, "Limits": {"MaxFds": 700, "MemoryMb": 152}})
@@ -244,13 +244,13 @@
 
     @pytest.mark.parametrize("name", ["MaxFds", "MemoryMb"])
     @pytest.mark.parametrize("value", ["700", 0, -5, True, []])
-    def test_a_limit_without_sense_is_named(self, name: str, value: Any, tmp_path: Path) -> None:
+    def test_an_invalid_limit_is_named(self, name: str, value: Any, tmp_path: Path) -> None:
         path = tmp_path / "settings.json"
         path.write_bytes(orjson.dumps({**self.SETTINGS, "Limits": {name: value}}))
         with pytest.raises(PlatformSettingsError, match=rf"Limits\.{name} is .*; give a number"):
             load_settings(str(path))
 
-    def test_a_limit_below_what_a_box_needs_is_refused_at_the_start(self, tmp_path: Path) -> None:
+    def test_a_limit_below_the_minimum_of_a_box_is_refused(self, tmp_path: Path) -> None:
         path = tmp_path / "settings.json"
         path.write_bytes(orjson.dumps({**self.SETTINGS, "Limits": {"MaxFds": 300}}))
         with pytest.raises(TooFewDescriptorsError, match=r"300 .* allowed, 312 are needed"):
@@ -265,9 +265,9 @@
 
 
 class TestEndpointEntries:
-    """Entries that other writers left among the endpoints' own."""
+    """Objects of the endpoints' kind, valid and invalid."""
 
-    WELL: ClassVar[dict[str, Any]] = {
+    VALID: ClassVar[dict[str, Any]] = {
         "Service": "seats",
         "Address": "10.2.0.1:5",
         "Zone": "a",
@@ -281,38 +281,40 @@
     def decode(self, spec: Any) -> EndpointEntry:
         return decode_endpoint(StoredObject("one", 1, spec), PlatformBounds())
 
-    def test_a_whole_entry_is_understood(self) -> None:
-        entry = self.decode(self.WELL)
+    def test_a_valid_entry_is_decoded(self) -> None:
+        entry = self.decode(self.VALID)
         assert (entry.group, entry.leads, entry.started_ms) == ("seats", False, 1_783_081_736_000)
 
     @pytest.mark.parametrize("name", ["Service", "Address", "Zone", "State", "DbRole"])
     @pytest.mark.parametrize("value", [None, "", 7, True, [], {}])
-    def test_a_field_of_another_kind_names_no_endpoint(self, name: str, value: Any) -> None:
-        with pytest.raises(EndpointNotUnderstoodError):
-            self.decode({**self.WELL, name: value})
+    def test_a_field_of_another_type_is_refused(self, name: str, value: Any) -> None:
+        with pytest.raises(InvalidEndpointError):
+            self.decode({**self.VALID, name: value})
 
     @pytest.mark.parametrize("name", ["Address", "State", "DbRole"])
     @pytest.mark.parametrize("value", ["starting", "\ud800"])
-    def test_a_word_that_nobody_knows_names_no_endpoint(self, name: str, value: str) -> None:
-        with pytest.raises(EndpointNotUnderstoodError):
-            self.decode({**self.WELL, name: value})
+    def test_an_unknown_role_or_state_is_refused(self, name: str, value: str) -> None:
+        with pytest.raises(InvalidEndpointError):
+            self.decode({**self.VALID, name: value})
 
     @pytest.mark.parametrize("value", ["1783081736000", 1.5, True, []])
-    def test_a_start_that_is_no_whole_number_names_no_endpoint(self, value: Any) -> None:
-        with pytest.raises(EndpointNotUnderstoodError, match="born is no whole number"):
-            self.decode({**self.WELL, "born": value})
+    def test_a_start_time_that_is_not_a_whole_number_is_refused(self, value: Any) -> None:
+        with pytest.raises(InvalidEndpointError, match="born is no whole number"):
+            self.decode({**self.VALID, "born": value})
 
-    @given(st.dictionaries(st.sampled_from([*WELL, "more"]), JSON) | JSON)
-    def test_whatever_stands_there_is_understood_or_refused(self, change: Any) -> None:
-        spec = {**self.WELL, **change} if isinstance(change, dict) else change
+    @given(st.dictionaries(st.sampled_from([*VALID, "more"]), JSON) | JSON)
+    def test_any_value_is_decoded_or_refused(self, change: Any) -> None:
+        spec = {**self.VALID, **change} if isinstance(change, dict) else change
         try:
             self.decode(spec)
-        except EndpointNotUnderstoodError:
+        except InvalidEndpointError:
             return
 
-    def test_the_others_hold_and_it_is_said_once(self) -> None:
-        async def story(world: World) -> None:
-            for number, spec in enumerate([7, None, {"Service": 1}, {**self.WELL, "State": "odd"}]):
+    def test_invalid_entries_are_skipped_and_logged_once(self) -> None:
+        async def scenario(world: World) -> None:
+            for number, spec in enumerate(
+                [7, None, {"Service": 1}, {**self.VALID, "State": "odd"}]
+            ):
                 world.store.set("servers", f"strange-{number}", spec)
             for _ in range(5):
                 world.register(world.groups[0].servers[1])
@@ -320,8 +322,8 @@
                 await trio.sleep(1.0)
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
-            said = world.boxes["box-1"].events("endpoint_not_understood")
-            # Each change of an entry is said, a list that holds it unchanged is not.
-            assert len([line for line in said if line["endpoint"] == "strange-1"]) == 1
+            logged = world.boxes["box-1"].events("endpoint_not_understood")
+            # Logged once per revision of an entry, not with every list.
+            assert len([line for line in logged if line["endpoint"] == "strange-1"]) == 1
 
-        run_in_world(story)
+        run_in_world(scenario)
--- a/wharftiller/tests/platform/test_bounds.py
+++ b/wharftiller/tests/platform/test_bounds.py
@@ -1,4 +1,4 @@
-"""The whole path where the platform's bounds are half or twice as long."""
+"""Time limits must follow the platform's bounds, tested with halved and doubled ones."""
 
 from __future__ import annotations
 
@@ -9,25 +9,27 @@
 from wharftiller.core.sessions.endpoints import LEAVING_MARGIN_S
 from wharftiller.tests.platform.world import STORE_IP, World, run_in_world
 
-USUAL = PlatformBounds()
+DEFAULT = PlatformBounds()
 HALVED = PlatformBounds(
-    USUAL.grace_s / 2, USUAL.leaving_serves_s / 2, USUAL.configuration_in_force_s / 2
+    DEFAULT.grace_s / 2, DEFAULT.leaving_serves_s / 2, DEFAULT.configuration_in_force_s / 2
 )
 DOUBLED = PlatformBounds(
-    USUAL.grace_s * 2, USUAL.leaving_serves_s * 2, USUAL.configuration_in_force_s * 2
+    DEFAULT.grace_s * 2, DEFAULT.leaving_serves_s * 2, DEFAULT.configuration_in_force_s * 2
 )
 
 all_bounds = pytest.mark.parametrize(
-    "bounds", [HALVED, USUAL, DOUBLED], ids=["halved", "usual", "doubled"]
+    "bounds", [HALVED, DEFAULT, DOUBLED], ids=["halved", "usual", "doubled"]
 )
 
 
 @all_bounds
 class TestBounds:
-    def test_a_leaving_primary_gets_nothing_once_it_may_end(self, bounds: PlatformBounds) -> None:
-        """Also while no other can take over: the platform is away."""
+    def test_a_leaving_primary_gets_no_statements_after_its_bound(
+        self, bounds: PlatformBounds
+    ) -> None:
+        """Also while no failover is possible because the platform is unavailable."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             old = world.groups[0].primary
             old.leaving = True
             world.register(old)
@@ -44,12 +46,10 @@
                 assert not served or left_s > LEAVING_MARGIN_S / 2
                 await trio.sleep(0.1)
 
-        run_in_world(story, bounds=bounds)
+        run_in_world(scenario, bounds=bounds)
 
-    def test_a_change_that_watches_do_not_tell_is_in_force_in_time(
-        self, bounds: PlatformBounds
-    ) -> None:
-        async def story(world: World) -> None:
+    def test_a_change_missed_by_watches_is_in_force_in_time(self, bounds: PlatformBounds) -> None:
+        async def scenario(world: World) -> None:
             world.store.deaf_watches = True
             document = world.store.spec("config", "main")
             world.store.set("config", "main", {**document, "Version": 7})
@@ -58,12 +58,12 @@
                 assert box.process.proxy is not None
                 assert box.process.proxy.state.version == 7
 
-        run_in_world(story, bounds=bounds)
+        run_in_world(scenario, bounds=bounds)
 
-    def test_a_stop_ends_within_the_grace(self, bounds: PlatformBounds) -> None:
-        """Although a caller leaves a transaction open."""
+    def test_a_stop_ends_within_the_grace_period(self, bounds: PlatformBounds) -> None:
+        """Also with an open transaction."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
             await caller.ask("BEGIN")
@@ -72,4 +72,4 @@
             with trio.fail_after(bounds.grace_s):
                 await box.ended.wait()
 
-        run_in_world(story, bounds=bounds)
+        run_in_world(scenario, bounds=bounds)
--- a/wharftiller/tests/platform/test_wire.py
+++ b/wharftiller/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""The line protocol: what is read, what is written, and that nothing else gets through."""
+"""Encoding and parsing of the line protocol, and rejection of invalid input."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
             ("EXECUTE s1 1a4 x y", Execute("s1", "1a4 x y")),
         ],
     )
-    def test_texts_are_understood(self, text: str, body: object) -> None:
+    def test_texts_are_parsed(self, text: str, body: object) -> None:
         statement = parse_statement(f"QUERY id {text}".encode())
         assert statement == Statement("id", text, body)  # type: ignore[arg-type]
 
@@ -80,12 +80,12 @@
         assert decode(line) == f"QUERY {statement.request_id} {statement.text}"
 
     @given(WORD, WORD, WORD)
-    def test_reads_and_writes_pass_unchanged(self, request_id: str, thing: str, data: str) -> None:
-        line = f"QUERY {request_id} WRITE {thing} {data}"
+    def test_reads_and_writes_pass_unchanged(self, request_id: str, key: str, data: str) -> None:
+        line = f"QUERY {request_id} WRITE {key} {data}"
         statement = parse_statement(line.encode())
         assert encode_query(EndpointQuery(statement.body, statement)) == f"{line}\r\n".encode()
 
-    def test_the_position_a_read_needs_goes_before_its_text(self) -> None:
+    def test_the_position_of_a_read_precedes_its_text(self) -> None:
         statement = parse_statement(b"QUERY id READ 1a4")
         query = EndpointQuery(statement.body, statement, LogPosition(3, 1207))
         assert encode_query(query) == b"QUERY id AFTER 3.1207 READ 1a4\r\n"
@@ -111,7 +111,7 @@
         st.sampled_from(SessionState),
         st.sampled_from([RefusalKind.NO_CAPACITY, RefusalKind.OUTCOME_UNKNOWN, None]),
     )
-    def test_what_is_written_is_read_back(
+    def test_an_encoded_reply_is_read_back(
         self, rows: list[bytes], state: SessionState, kind: RefusalKind | None
     ) -> None:
         rows = [row.strip(b"\r") for row in rows]
@@ -120,11 +120,11 @@
         reply = Reply(state, tuple(rows), proof, refusal, LogPosition(2, 9))
         assert read(encode_reply(reply)) == reply
 
-    def test_half_an_answer_is_an_error(self) -> None:
+    def test_an_incomplete_reply_is_an_error(self) -> None:
         with pytest.raises(ExchangeError, match="before its whole answer"):
             read(b"ROW a\r\nCOMPLETE x\r\n")
 
-    def test_a_status_of_the_wrong_shape_is_an_error(self) -> None:
+    def test_an_invalid_status_is_an_error(self) -> None:
         with pytest.raises(ExchangeError, match="which is none"):
             parse_status(Reply(SessionState.IDLE, (b"primary 3",), "-"))
 
@@ -153,14 +153,14 @@
         trio.run(main)
 
     @given(st.lists(st.integers(1, 7), min_size=1, max_size=20))
-    def test_lines_come_whole_however_they_are_cut(self, cuts: list[int]) -> None:
+    def test_lines_split_over_several_reads_are_joined(self, sizes: list[int]) -> None:
         async def main() -> None:
             near, far = trio.testing.memory_stream_pair()
             data = b"one\r\ntwo\r\n\r\nfour\r\n"
-            for cut in cuts:
+            for size in sizes:
                 if data:
-                    await near.send_all(data[:cut])
-                    data = data[cut:]
+                    await near.send_all(data[:size])
+                    data = data[size:]
             await near.send_all(data or b"")
             reader = LineReader(far)
             assert [await reader.line() for _ in range(4)] == [b"one", b"two", b"", b"four"]
