--- a/wharftiller/edges/callers.py
+++ b/wharftiller/edges/callers.py
@@ -1,4 +1,4 @@
-"""The callers' edge: statements over HTTP with JSON, one final answer each."""
+"""The callers' interface: statements over HTTP with JSON, one final answer each."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 MAX_DEADLINE_MS = 60_000
 MAX_AGE_MS = 86_400_000
 
-Ask = Callable[[Request], Awaitable[Answer]]
+Execute = Callable[[Request], Awaitable[Answer]]
 
 
 @attrs.frozen
@@ -31,9 +31,9 @@
     kind : str
         ``read``, ``write``, ``begin``, ``commit`` or ``rollback``.
     max_age_ms : int or None
-        0 asks for the latest data, absent for what the pool's rule says.
+        0 requests the latest data; None applies the pool's rule.
     explain : bool
-        Whether the answer carries the steps of the decision.
+        Whether the answer includes the steps of the decision.
     """
 
     pool: str
@@ -55,22 +55,23 @@
 }
 
 
-async def answer_statement(request: HttpRequest, keys: KeyRing, ask: Ask) -> HttpResponse:
+async def answer_statement(request: HttpRequest, keys: KeyRing, execute: Execute) -> HttpResponse:
     """Answer one ``POST /statements``.
 
     Raises
     ------
     WharfError
-        If the request is malformed, not authenticated, or its token is not its own.
+        If the request is malformed or not authenticated, or its session token was not issued for
+        its pool and business.
     """
     body = from_caller(request.json(), CallerStatement)
-    _check_figures(body)
+    _check_fields(body)
     keys.check("business", f"{body.pool}/{body.business}", bearer(request.headers))
-    answer = await ask(_to_request(body, keys))
+    answer = await execute(_to_request(body, keys))
     return _to_response(answer, keys, explain=body.explain)
 
 
-def _check_figures(body: CallerStatement) -> None:
+def _check_fields(body: CallerStatement) -> None:
     if not 0 < len(body.request_id) <= MAX_ID_LENGTH:
         raise BadRequestError(
             f"request_id has {len(body.request_id)} characters; use 1 to {MAX_ID_LENGTH}, unique "
@@ -85,9 +86,11 @@
     if body.kind not in _ACTIONS:
         raise BadRequestError(f"kind is {body.kind!r}; use one of {sorted(_ACTIONS)}")
     if body.kind in ("commit", "rollback") and body.transaction is None:
-        raise BadRequestError(f"a {body.kind} names no transaction; send the one 'begin' gave")
+        raise BadRequestError(
+            f"a {body.kind} needs a transaction; send the one that 'begin' returned"
+        )
     if body.kind == "begin" and body.transaction is not None:
-        raise BadRequestError("a begin names a transaction; transactions do not nest")
+        raise BadRequestError("a begin takes no transaction; transactions do not nest")
 
 
 def _to_request(body: CallerStatement, keys: KeyRing) -> Request:
@@ -128,10 +131,10 @@
             {"kind": step.kind.value, "detail": step.detail, "endpoint": step.endpoint}
             for step in answer.steps
         ]
-    return HttpResponse(_status(answer), body, _retry_header(answer))
+    return HttpResponse(_http_status(answer), body, _retry_after_header(answer))
 
 
-def _status(answer: Answer) -> int:
+def _http_status(answer: Answer) -> int:
     match answer.outcome:
         case Outcome.DONE:
             return 200
@@ -141,7 +144,7 @@
             return 422 if answer.retry_after_ms is None else 503
 
 
-def _retry_header(answer: Answer) -> dict[str, str]:
+def _retry_after_header(answer: Answer) -> dict[str, str]:
     if answer.retry_after_ms is None:
         return {}
     return {"retry-after": str(math.ceil(answer.retry_after_ms / 1000))}
--- a/wharftiller/edges/endpoints.py
+++ b/wharftiller/edges/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints' edge: statement connections, and control connections for reports."""
+"""Connections to endpoints: for statements, and control connections for reports."""
 
 from __future__ import annotations
 
@@ -30,26 +30,26 @@
 from wharftiller.edges.transport import Transport
 
 CONNECT_TIMEOUT_S = 1.0
-LOST_REPORT_PAUSE_S = 0.05
+LOST_REPORT_DELAY_S = 0.05
 
 Feed = Callable[[Input], None]
 
 
 @attrs.define
 class _Connection:
-    """A statement connection's task: where to send statements, how to end it."""
+    """The task of a statement connection: its queue of statements and its cancel scope."""
 
     statements: trio.MemorySendChannel[SendStatement]
     scope: trio.CancelScope
 
 
 class StatementConnections:
-    """Carries out the core's orders on statement connections.
+    """Executes the core's outputs for statement connections.
 
     Parameters
     ----------
     feed : callable
-        Takes what happens on them.
+        Receives the resulting inputs.
     """
 
     def __init__(self, transport: Transport, box: str, nursery: trio.Nursery, feed: Feed) -> None:
@@ -60,20 +60,20 @@
         self._connections: dict[int, _Connection] = {}
 
     def open(self, order: OpenConnection) -> None:
-        """Open a connection; its fate is fed back."""
+        """Open a connection; the result is fed back as an input."""
         send, receive = trio.open_memory_channel[SendStatement](2)
         connection = _Connection(send, trio.CancelScope())
         self._connections[order.connection] = connection
         self._nursery.start_soon(self._run, order, connection.scope, receive)
 
     def send(self, order: SendStatement) -> None:
-        """Send a statement; a connection that has gone has said so already."""
+        """Send a statement; ignored on a lost connection, which was reported already."""
         connection = self._connections.get(order.connection)
         if connection is not None:
             connection.statements.send_nowait(order)
 
     def close(self, number: int) -> None:
-        """Close a connection without a word."""
+        """Close a connection without feeding back an input."""
         connection = self._connections.pop(number, None)
         if connection is not None:
             connection.scope.cancel()
@@ -89,7 +89,7 @@
             if opened is None:
                 return
             try:
-                await self._carry(order.connection, opened, statements)
+                await self._run_statements(order.connection, opened, statements)
             finally:
                 await opened.aclose()
 
@@ -112,7 +112,7 @@
         self._feed(ConnectionRefused(order.connection, at_limit))
         return None
 
-    async def _carry(
+    async def _run_statements(
         self,
         number: int,
         opened: HttpConnection,
@@ -120,7 +120,7 @@
     ) -> None:
         try:
             async for statement in statements:
-                answer = await opened.request("POST", "/statement", _encode(statement))
+                answer = await opened.request("POST", "/statement", _encode_statement(statement))
                 parsed = from_peer(answer.json(), EndpointAnswer)
                 self._feed(StatementAnswered(number, parsed))
         except ExchangeError:
@@ -128,7 +128,7 @@
             self._feed(ConnectionLost(number))
 
 
-def _encode(order: SendStatement) -> dict[str, Any]:
+def _encode_statement(order: SendStatement) -> dict[str, Any]:
     return {
         "request_id": order.request_id,
         "business": order.business,
@@ -140,7 +140,7 @@
 
 
 class ReportLanes:
-    """Control connections: one per server and lane, kept open."""
+    """Control connections: one per server and lane, kept open between requests."""
 
     def __init__(self, transport: Transport, nursery: trio.Nursery, feed: Feed) -> None:
         self._transport = transport
@@ -149,25 +149,25 @@
         self._clients: dict[tuple[str, Lane], HttpClient] = {}
 
     def send(self, order: SendReport) -> None:
-        """Ask for a report; it, or its loss, is fed back."""
-        self._nursery.start_soon(self._ask, order, trio.current_time())
+        """Request a report; it, or its loss, is fed back as an input."""
+        self._nursery.start_soon(self._request_report, order, trio.current_time())
 
     def _client(self, order: SendReport) -> HttpClient:
-        place = (order.endpoint, order.lane)
-        client = self._clients.get(place)
+        key = (order.endpoint, order.lane)
+        client = self._clients.get(key)
         if client is None or client.address != order.address:
             client = HttpClient(self._transport, order.address)
-            self._clients[place] = client
+            self._clients[key] = client
         return client
 
-    async def _ask(self, order: SendReport, sent_at: float) -> None:
+    async def _request_report(self, order: SendReport, sent_at: float) -> None:
         body = {"wait_position": order.wait_position, "wait_ms": order.wait_ms}
         timeout_s = REPORT_TIMEOUT_S + order.wait_ms / 1000
         try:
             answer = await self._client(order).request("POST", "/report", body, timeout_s=timeout_s)
             report = from_peer(answer.json(), Report)
         except ExchangeError:
-            await trio.sleep(LOST_REPORT_PAUSE_S)
+            await trio.sleep(LOST_REPORT_DELAY_S)
             self._feed(ReportLost(order.endpoint, order.lane, sent_at))
         else:
             self._feed(ReportArrived(order.endpoint, order.lane, sent_at, report))
--- a/wharftiller/edges/forwarded_json.py
+++ b/wharftiller/edges/forwarded_json.py
@@ -1,6 +1,6 @@
 """Statements that one box runs for another, and their replies, as JSON.
 
-Texts and rows keep bytes that are no UTF-8: each byte travels as one character.
+Texts and rows may hold bytes that are not UTF-8: each byte is encoded as one character.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 
 @attrs.frozen
 class ForwardedStatement:
-    """One statement with all of its session that decides how it runs.
+    """One statement, with the session state that it depends on.
 
     Attributes
     ----------
     age_s, begun_s : float
-        How long ago it came, and how long ago its transaction began, in seconds.
+        Time since it arrived, and since its transaction began, in seconds.
     workspace : Workspace or None
-        Whose it is; None where callers need no keys.
+        Workspace of its caller; None where callers need no keys.
     transaction : str
-        Id of its transaction; empty outside any.
+        Id of its transaction; empty outside a transaction.
     begins : bool
-        Whether the transaction begins with it.
+        Whether it is the first of its transaction.
     needed : PreparedStatement or None
-        What the name that it executes stands for.
+        The prepared statement that it executes.
     own_write : LogPosition or None
-        Newest position that the session wrote in the route's group.
+        Last position that the session wrote in the route's group.
     unsettled : bool
-        Whether the outcome of a write of the session in that group is not known.
+        Whether the outcome of a write of the session in that group is unknown.
     """
 
     box: str
@@ -75,16 +75,16 @@
 
 @attrs.frozen
 class ForwardedReply:
-    """The reply of the box that ran it.
+    """The reply of the box that ran a forwarded statement.
 
     Attributes
     ----------
     own_write, unsettled
-        What the session wrote by now; see `ForwardedStatement`.
+        Updated values; see `ForwardedStatement`.
     primary_usable : bool
         Whether that box can use the group's primary.
     lacks_lease : bool
-        Whether it may not use it, though other boxes may.
+        Whether it may not use the primary for want of a lease, though other boxes may.
     """
 
     reply: Reply
@@ -94,11 +94,11 @@
     lacks_lease: bool = False
 
 
-def _to_text(text: str) -> str:
+def _text_to_json(text: str) -> str:
     return text.encode(errors="surrogateescape").decode("latin-1")
 
 
-def _from_text(text: str) -> str:
+def _text_from_json(text: str) -> str:
     return text.encode("latin-1").decode(errors="surrogateescape")
 
 
@@ -111,11 +111,11 @@
 
 
 def _prepared_to_json(prepared: PreparedStatement | None) -> list[str] | None:
-    return None if prepared is None else [prepared.access.value, _to_text(prepared.shape)]
+    return None if prepared is None else [prepared.access.value, _text_to_json(prepared.shape)]
 
 
 def _prepared_from_json(value: Any) -> PreparedStatement | None:
-    return None if value is None else PreparedStatement(Access(value[0]), _from_text(value[1]))
+    return None if value is None else PreparedStatement(Access(value[0]), _text_from_json(value[1]))
 
 
 def _route_to_json(route: Route) -> dict[str, Any]:
@@ -147,7 +147,7 @@
         case ["own_writes", max_age_s]:
             consistency = OwnWritesReads(float(max_age_s))
         case other:
-            raise ValueError(f"{other!r} is no kind of reading")
+            raise ValueError(f"unknown consistency {other!r}")
     return Route(
         name=str(value["name"]),
         database=str(value["database"]),
@@ -160,27 +160,27 @@
 
 
 def workspace_to_json(workspace: Workspace | None) -> list[Any] | None:
-    """Return a workspace as JSON: its name and its allowance."""
+    """Return a workspace as JSON: its name and allowance."""
     if workspace is None:
         return None
     allowance = workspace.allowance
     limit = None if allowance is None else [allowance.rate_per_s, allowance.burst]
-    return [_to_text(workspace.name), limit]
+    return [_text_to_json(workspace.name), limit]
 
 
 def workspace_from_json(value: Any) -> Workspace | None:
-    """Return the workspace that ``value`` holds.
+    """Decode a workspace.
 
     Raises
     ------
     TypeError, ValueError
-        If it holds none.
+        If ``value`` is not a valid workspace.
     """
     if value is None:
         return None
     name, limit = value
     allowance = None if limit is None else Allowance(float(limit[0]), float(limit[1]))
-    return Workspace(_from_text(name), allowance)
+    return Workspace(_text_from_json(name), allowance)
 
 
 def _body_to_json(body: object) -> list[str]:
@@ -188,11 +188,11 @@
         case Direct(access):
             return ["direct", access.value]
         case Execute(name, arguments):
-            return ["execute", _to_text(name), _to_text(arguments)]
+            return ["execute", _text_to_json(name), _text_to_json(arguments)]
         case Commit():
             return ["commit"]
         case _:
-            raise BadRequestError(f"{body!r} is answered by the box that got it")
+            raise BadRequestError(f"{body!r} is not forwarded; the box that received it runs it")
 
 
 def _body_from_json(value: Any) -> ForwardedBody:
@@ -200,43 +200,43 @@
         case ["direct", access]:
             return Direct(Access(access))
         case ["execute", name, arguments]:
-            return Execute(_from_text(name), _from_text(arguments))
+            return Execute(_text_from_json(name), _text_from_json(arguments))
         case ["commit"]:
             return Commit()
         case _:
-            raise ValueError(f"{value!r} is no statement that is passed on")
+            raise ValueError(f"{value!r} is not a forwarded statement")
 
 
-def statement_to_json(asked: ForwardedStatement) -> dict[str, Any]:
+def statement_to_json(forwarded: ForwardedStatement) -> dict[str, Any]:
     """Return a statement as JSON."""
     return {
-        "box": asked.box,
-        "workspace": workspace_to_json(asked.workspace),
-        # Boxes that know no workspaces yet refuse a statement without it.
+        "box": forwarded.box,
+        "workspace": workspace_to_json(forwarded.workspace),
+        # Required by boxes of a version without workspaces.
         "caller": "",
-        "route": _route_to_json(asked.route),
-        "request": _to_text(asked.statement.request_id),
-        "text": _to_text(asked.statement.text),
-        "body": _body_to_json(asked.statement.body),
-        "age_s": asked.age_s,
-        "values": {_to_text(k): _to_text(v) for k, v in asked.values.items()},
-        "needed": _prepared_to_json(asked.needed),
-        "transaction": asked.transaction,
-        "begins": asked.begins,
-        "read_only": asked.read_only,
-        "begun_s": asked.begun_s,
-        "own_write": _position_to_json(asked.own_write),
-        "unsettled": asked.unsettled,
+        "route": _route_to_json(forwarded.route),
+        "request": _text_to_json(forwarded.statement.request_id),
+        "text": _text_to_json(forwarded.statement.text),
+        "body": _body_to_json(forwarded.statement.body),
+        "age_s": forwarded.age_s,
+        "values": {_text_to_json(k): _text_to_json(v) for k, v in forwarded.values.items()},
+        "needed": _prepared_to_json(forwarded.needed),
+        "transaction": forwarded.transaction,
+        "begins": forwarded.begins,
+        "read_only": forwarded.read_only,
+        "begun_s": forwarded.begun_s,
+        "own_write": _position_to_json(forwarded.own_write),
+        "unsettled": forwarded.unsettled,
     }
 
 
 def statement_from_json(value: Any) -> ForwardedStatement:
-    """Return the statement that ``value`` holds.
+    """Decode a statement.
 
     Raises
     ------
     BadRequestError
-        If it is none.
+        If ``value`` is not a valid statement.
     """
     try:
         return ForwardedStatement(
@@ -244,12 +244,12 @@
             workspace=workspace_from_json(value.get("workspace")),
             route=_route_from_json(value["route"]),
             statement=Statement(
-                _from_text(value["request"]),
-                _from_text(value["text"]),
+                _text_from_json(value["request"]),
+                _text_from_json(value["text"]),
                 _body_from_json(value["body"]),
             ),
             age_s=float(value["age_s"]),
-            values={_from_text(k): _from_text(v) for k, v in value["values"].items()},
+            values={_text_from_json(k): _text_from_json(v) for k, v in value["values"].items()},
             needed=_prepared_from_json(value["needed"]),
             transaction=str(value["transaction"]),
             begins=value["begins"] is True,
@@ -259,58 +259,64 @@
             unsettled=value["unsettled"] is True,
         )
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BadRequestError(f"no statement to run: {error!r}; run one version") from None
+        raise BadRequestError(
+            f"invalid statement: {error!r}; run the same version on all boxes"
+        ) from None
 
 
-def reply_to_json(told: ForwardedReply) -> dict[str, Any]:
+def reply_to_json(forwarded: ForwardedReply) -> dict[str, Any]:
     """Return a reply as JSON."""
-    reply = told.reply
+    reply = forwarded.reply
     refusal = reply.refusal
     return {
         "state": reply.state.value,
         "rows": [row.decode("latin-1") for row in reply.rows],
-        "proof": None if reply.proof is None else _to_text(reply.proof),
+        "proof": None if reply.proof is None else _text_to_json(reply.proof),
         "refusal": None if refusal is None else _refusal_to_json(refusal),
         "position": _position_to_json(reply.position),
         "endpoint": reply.endpoint,
-        "own_write": _position_to_json(told.own_write),
-        "unsettled": told.unsettled,
-        "primary_usable": told.primary_usable,
-        "lacks_lease": told.lacks_lease,
+        "own_write": _position_to_json(forwarded.own_write),
+        "unsettled": forwarded.unsettled,
+        "primary_usable": forwarded.primary_usable,
+        "lacks_lease": forwarded.lacks_lease,
     }
 
 
 def reply_from_json(value: Any) -> ForwardedReply:
-    """Return the reply that ``value`` holds.
+    """Decode a reply.
 
     Raises
     ------
     BadRequestError
-        If it is none.
+        If ``value`` is not a valid reply.
     """
     try:
         refusal = value["refusal"]
         reply = Reply(
             SessionState(value["state"]),
             tuple(row.encode("latin-1") for row in value["rows"]),
-            None if value["proof"] is None else _from_text(value["proof"]),
+            None if value["proof"] is None else _text_from_json(value["proof"]),
             None if refusal is None else _refusal_from_json(refusal),
             _position_from_json(value["position"]),
             None if value["endpoint"] is None else str(value["endpoint"]),
         )
         own_write = _position_from_json(value["own_write"])
-        usable = value["primary_usable"] is True
+        is_usable = value["primary_usable"] is True
         lacks_lease = value["lacks_lease"] is True
-        return ForwardedReply(reply, own_write, value["unsettled"] is True, usable, lacks_lease)
+        return ForwardedReply(reply, own_write, value["unsettled"] is True, is_usable, lacks_lease)
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BadRequestError(f"no reply to a statement: {error!r}; run one version") from None
+        raise BadRequestError(
+            f"invalid reply to a statement: {error!r}; run the same version on all boxes"
+        ) from None
 
 
 def _refusal_to_json(refusal: Refusal) -> list[str | None]:
     cause = None if refusal.cause is None else refusal.cause.value
-    return [refusal.kind.value, _to_text(refusal.detail), cause]
+    return [refusal.kind.value, _text_to_json(refusal.detail), cause]
 
 
 def _refusal_from_json(value: Any) -> Refusal:
     kind, detail, cause = value
-    return Refusal(RefusalKind(kind), _from_text(detail), None if cause is None else Cause(cause))
+    return Refusal(
+        RefusalKind(kind), _text_from_json(detail), None if cause is None else Cause(cause)
+    )
--- a/wharftiller/edges/http_client.py
+++ b/wharftiller/edges/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests with JSON over kept connections."""
+"""HTTP/1.1 client for JSON requests over persistent connections."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from wharftiller.edges.http_server import READ_BYTES
 from wharftiller.edges.transport import Transport, close_now
 
-MAX_DECOMPRESSED = 16 * 1024 * 1024
-"""Bytes that a compressed answer may have: a configuration has at most one million."""
+MAX_DECOMPRESSED_BYTES = 16 * 1024 * 1024
+"""Limit of a decompressed response; a configuration has at most one million bytes."""
 
-SENT_AGAIN = ("GET", "PUT")
-"""Methods that are sent again when a kept connection turns out to be closed."""
+RETRIED_METHODS = ("GET", "PUT")
+"""Idempotent methods, retried when a persistent connection turns out to be closed."""
 
 
 class _ResponseCollector:
-    """Gathers one response from the parser's callbacks."""
+    """Builds one response from the parser's callbacks."""
 
     def __init__(self) -> None:
-        self.complete = False
+        self.is_complete = False
         self.close = False
         self.body: list[bytes] = []
         self.headers: dict[str, str] = {}
-        self.extra = False
+        self.has_extra = False
 
     def on_message_begin(self) -> None:
-        self.extra = self.complete
+        self.has_extra = self.is_complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
@@ -41,12 +41,12 @@
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        self.complete = True
+        self.is_complete = True
 
 
 @attrs.define
 class HttpAnswer:
-    """A response as a client sees it."""
+    """A response with its body not yet decoded."""
 
     status: int
     headers: dict[str, str]
@@ -61,14 +61,14 @@
             If it is not JSON.
         """
         try:
-            return orjson.loads(self._plain_body())
+            return orjson.loads(self._decompressed_body())
         except (orjson.JSONDecodeError, zlib.error) as error:
-            raise ExchangeError(f"the answer is not JSON: {error}. Check the peer") from None
+            raise ExchangeError(f"the response is not JSON: {error}. Check the peer") from None
 
-    def _plain_body(self) -> bytes:
+    def _decompressed_body(self) -> bytes:
         if self.headers.get("content-encoding") != "deflate":
             return self.body
-        return zlib.decompressobj().decompress(self.body, MAX_DECOMPRESSED)
+        return zlib.decompressobj().decompress(self.body, MAX_DECOMPRESSED_BYTES)
 
 
 class HttpConnection:
@@ -78,8 +78,8 @@
         self._stream = stream
 
     @property
-    def usable(self) -> bool:
-        """Whether nothing unexpected has come on it; the peer may have closed it."""
+    def is_usable(self) -> bool:
+        """Whether no unexpected bytes arrived; the peer may still have closed it."""
         if isinstance(self._stream, trio.SocketStream):
             return not self._stream.socket.is_readable()
         return True
@@ -87,33 +87,33 @@
     async def request(
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
     ) -> HttpAnswer:
-        """Send a request and return its answer.
+        """Send a request and return the response.
 
         Raises
         ------
         ExchangeError
-            If the connection breaks or the answer is not HTTP; the connection
+            If the connection breaks or the response is not HTTP; the connection
             cannot be used again.
         """
         try:
             await self._stream.send_all(_encode_request(method, path, body, headers or {}))
             return await self._read_answer()
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise ExchangeError(f"the connection broke during {method} {path}") from error
+            raise ExchangeError(f"the connection was lost during {method} {path}") from error
 
     async def _read_answer(self) -> HttpAnswer:
         collector = _ResponseCollector()
         parser = httptools.HttpResponseParser(collector)
-        while not collector.complete:
+        while not collector.is_complete:
             data = await self._stream.receive_some(READ_BYTES)
             if not data:
-                raise ExchangeError("the peer closed the connection before answering")
+                raise ExchangeError("the peer closed the connection before its response")
             try:
                 parser.feed_data(data)
             except httptools.HttpParserError as error:
-                raise ExchangeError(f"the answer is not HTTP/1.1: {error}") from None
-        if collector.extra:
-            raise ExchangeError("the peer sent more than one answer to a request")
+                raise ExchangeError(f"the response is not HTTP/1.1: {error}") from None
+        if collector.has_extra:
+            raise ExchangeError("the peer sent more than one response to a request")
         return HttpAnswer(parser.get_status_code(), collector.headers, b"".join(collector.body))
 
     async def aclose(self) -> None:
@@ -130,7 +130,7 @@
 
 
 class HttpClient:
-    """Requests to one address over a kept connection, opened anew when it breaks."""
+    """Sends requests to one address over a persistent connection, reopened when lost."""
 
     def __init__(self, transport: Transport, address: str) -> None:
         self._transport = transport
@@ -140,7 +140,7 @@
 
     @property
     def address(self) -> str:
-        """Where requests go."""
+        """Address that requests are sent to."""
         return self._address
 
     async def request(
@@ -157,15 +157,15 @@
         Raises
         ------
         ExchangeError
-            If no answer came; the request may or may not have taken effect.
+            If no response came; the request may or may not have taken effect.
         """
         with trio.move_on_after(timeout_s):
             async with self._lock:
-                kept = self._connection is not None
+                was_open = self._connection is not None
                 try:
                     return await self._exchange(method, path, body, headers)
                 except ExchangeError:
-                    if not kept or method not in SENT_AGAIN:
+                    if not was_open or method not in RETRIED_METHODS:
                         raise
                 return await self._exchange(method, path, body, headers)
         raise NoAnswerInTimeError(f"{self._address} did not answer within {timeout_s} s")
@@ -173,34 +173,34 @@
     async def _exchange(
         self, method: str, path: str, body: Any, headers: dict[str, str] | None
     ) -> HttpAnswer:
-        whole = False
+        is_reusable = False
         try:
             if self._connection is None:
                 self._connection = HttpConnection(await self._transport.connect(self._address))
             answer = await self._connection.request(method, path, body, headers)
-            whole = answer.headers.get("connection") != "close"
+            is_reusable = answer.headers.get("connection") != "close"
             return answer
         finally:
-            if not whole:
+            if not is_reusable:
                 await self.aclose()
 
     async def aclose(self) -> None:
-        """Drop the kept connection."""
+        """Close the persistent connection."""
         connection, self._connection = self._connection, None
         if connection is not None:
             await connection.aclose()
 
 
 class NoAnswerInTimeError(ExchangeError):
-    """No answer came in time; the other side may be slow."""
+    """No response within the timeout; the peer may be slow."""
 
 
 class NotSentError(ExchangeError):
-    """No connection could be had, so nothing was sent."""
+    """No connection could be opened, so nothing was sent."""
 
 
 class HttpPool:
-    """Requests to one address over as many kept connections as are needed at once."""
+    """Sends concurrent requests to one address over a pool of persistent connections."""
 
     def __init__(self, transport: Transport, address: str, connect_timeout_s: float) -> None:
         self._transport = transport
@@ -209,23 +209,23 @@
         self._idle: list[HttpConnection] = []
 
     async def post(self, path: str, body: Any) -> HttpAnswer:
-        """Send a request once and return its answer.
+        """Send a request without retries and return the response.
 
         Raises
         ------
         NotSentError
-            If no connection could be had.
+            If no connection could be opened.
         ExchangeError
-            If no answer came; the request may or may not have taken effect.
+            If no response came; the request may or may not have taken effect.
         """
         connection = await self._connection()
-        whole = False
+        is_reusable = False
         try:
             answer = await connection.request("POST", path, body)
-            whole = answer.headers.get("connection") != "close"
+            is_reusable = answer.headers.get("connection") != "close"
             return answer
         finally:
-            if whole:
+            if is_reusable:
                 self._idle.append(connection)
             else:
                 with trio.CancelScope(shield=True):
@@ -234,19 +234,19 @@
     async def _connection(self) -> HttpConnection:
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable:
+            if connection.is_usable:
                 return connection
             await connection.aclose()
         try:
             with trio.fail_after(self._connect_timeout_s):
                 return HttpConnection(await self._transport.connect(self._address))
         except trio.TooSlowError:
-            raise NotSentError(f"{self._address} took no connection in time") from None
+            raise NotSentError(f"connecting to {self._address} timed out") from None
         except ExchangeError as error:
             raise NotSentError(str(error)) from error
 
     async def aclose(self) -> None:
-        """Drop the connections that nobody uses."""
+        """Close the idle connections."""
         idle, self._idle = self._idle, []
         for connection in idle:
             await connection.aclose()
--- a/wharftiller/edges/leadership_json.py
+++ b/wharftiller/edges/leadership_json.py
@@ -1,4 +1,4 @@
-"""The record of leadership and log positions as JSON, for the platform and between boxes."""
+"""The leadership record as JSON, for the platform and between boxes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def record_to_json(record: LeadershipRecord) -> dict[str, Any]:
-    """Return the record as plain JSON, without its revision."""
+    """Return the record as JSON, without its revision."""
     return {
         "fence": record.fence,
         "holder": record.holder,
@@ -28,9 +28,9 @@
     match state:
         case Leading():
             return _leading_to_json(state)
-        case FailingOver(old, successor, planned, ordered):
+        case FailingOver(leading, successor, planned, ordered):
             return {
-                **_leading_to_json(old),
+                **_leading_to_json(leading),
                 "successor": successor,
                 "planned": planned,
                 "ordered": ordered,
@@ -45,15 +45,15 @@
 
 
 def record_from_json(value: Any, revision: int) -> LeadershipRecord:
-    """Return the record that ``value`` holds.
+    """Decode a leadership record.
 
     Raises
     ------
     BadRequestError
-        If it is not such a record.
+        If ``value`` is not a valid record.
     """
     try:
-        groups = {str(name): _group_from_json(each) for name, each in value["groups"].items()}
+        groups = {str(name): _group_from_json(state) for name, state in value["groups"].items()}
         return LeadershipRecord(
             int(revision),
             int(value["fence"]),
@@ -66,13 +66,15 @@
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise BadRequestError(
-            f"no record of leadership: {error!r}. Delete the object; boxes write it anew"
+            f"invalid leadership record: {error!r}. Delete the object; the boxes create it again"
         ) from None
 
 
 def _group_from_json(value: Any) -> GroupLeadership:
     is_unverified = value.get("doubted") is True
-    old = Leading(str(value["endpoint"]), int(value["term"]), is_unverified)
+    leading = Leading(str(value["endpoint"]), int(value["term"]), is_unverified)
     if "successor" not in value:
-        return old
-    return FailingOver(old, str(value["successor"]), bool(value["planned"]), bool(value["ordered"]))
+        return leading
+    return FailingOver(
+        leading, str(value["successor"]), bool(value["planned"]), bool(value["ordered"])
+    )
--- a/wharftiller/platform/__main__.py
+++ b/wharftiller/platform/__main__.py
@@ -33,22 +33,22 @@
 """Environment variable that names the settings file."""
 
 DEFAULT_SETTINGS = "/etc/wharftiller/settings.json"
-"""The settings file where the variable names none."""
+"""Path of the settings file where the variable is unset."""
 
 BAD_SETTINGS = 2
 """Exit status when the settings cannot be used."""
 
 READY_PATH = "/v1/readiness"
-"""Where the platform's balancer asks whether this process takes new sessions."""
+"""Path at which the platform's load balancer checks whether to send new sessions here."""
 
 
 class PlatformProcess:
-    """Composes the session proxy with the platform's edges.
+    """Runs the session proxy with the platform's adapters.
 
     Parameters
     ----------
     path : str
-        Where the settings were read, to check them again when they change.
+        Path of the settings file, checked again on SIGHUP.
     """
 
     def __init__(
@@ -57,31 +57,35 @@
         self._settings = settings
         self._path = path
         self._log = log
-        # Callers come over the transport itself: the door counts them.
-        self._callers = transport
+        # Callers' connections are not counted here; connection admission counts them.
+        self._caller_transport = transport
         self._transport = CountedTransport(transport)
         self.proxy: SessionProxy | None = None
 
     async def run(self) -> None:
-        """Serve until a signal says to stop."""
+        """Serve until SIGTERM or SIGINT."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            await self.serve(lambda: self._take_signals(signals))
+            await self.serve(lambda: self._wait_for_stop_signal(signals))
 
-    async def serve(self, told_to_stop: Callable[[], Awaitable[None]]) -> None:
-        """Serve until ``told_to_stop`` returns and what was taken is answered."""
+    async def serve(self, wait_for_stop: Callable[[], Awaitable[None]]) -> None:
+        """Serve until ``wait_for_stop`` returns and accepted statements are answered."""
         settings = self._settings
         async with trio.open_nursery() as nursery:
             proxy = self.proxy = self._compose(nursery)
             self._log.change("started", pid=os.getpid(), data_centre=settings.data_centre)
             callers = CallerServer(proxy)
-            await nursery.start(self._callers.serve, settings.callers, callers.serve)
-            await nursery.start(self._transport.serve, settings.ready, self._answer_ready(proxy))
-            await nursery.start(self._transport.serve, settings.boxes, self._http(proxy.handle_box))
+            await nursery.start(self._caller_transport.serve, settings.callers, callers.serve)
+            await nursery.start(
+                self._transport.serve, settings.ready, self._readiness_handler(proxy)
+            )
+            await nursery.start(
+                self._transport.serve, settings.boxes, self._http_handler(proxy.handle_box)
+            )
             await nursery.start(self._transport.serve, settings.relay, proxy.relay.serve)
-            metrics = self._http(proxy.handle_metrics)
+            metrics = self._http_handler(proxy.handle_metrics)
             await nursery.start(self._transport.serve, settings.metrics, metrics)
             proxy.start()
-            await told_to_stop()
+            await wait_for_stop()
             await proxy.stop()
             nursery.cancel_scope.cancel()
 
@@ -90,7 +94,7 @@
         store = ObjectStore(self._transport, settings.store, self._log)
         decode = partial(decode_configuration, needs_workspaces=settings.needs_workspaces)
 
-        def feeds(state: SharedState, missed: Callable[[], None]) -> PlatformWatches:
+        def make_watches(state: SharedState, missed: Callable[[], None]) -> PlatformWatches:
             return PlatformWatches(store, settings.bounds, decode, state, missed, self._log)
 
         return SessionProxy(
@@ -106,7 +110,7 @@
             self._transport,
             LineDialer(self._transport, settings.box),
             SharedPlatformObjects(store, self._log),
-            feeds,
+            make_watches,
             PlatformPromotions(self._transport, settings.duties),
             self._log,
             decode,
@@ -115,14 +119,14 @@
             lambda: self._transport.open_streams,
         )
 
-    async def _take_signals(self, signals: AsyncIterator[int]) -> None:
+    async def _wait_for_stop_signal(self, signals: AsyncIterator[int]) -> None:
         async for number in signals:
             if number != signal.SIGHUP:
                 return
             self._reload()
 
     def _reload(self) -> None:
-        """Check the settings again; what they name is bound to the process's life."""
+        """Check the settings file and log the result; changes apply at the next start only."""
         try:
             changed = load_settings(self._path) != self._settings
         except WharfError as error:
@@ -130,23 +134,23 @@
             return
         self._log.change("settings_reloaded", differ=changed)
 
-    def _http(self, handler: HttpHandler) -> Handler:
+    def _http_handler(self, handler: HttpHandler) -> Handler:
         async def serve(stream: trio.abc.Stream) -> None:
             try:
                 await serve_stream(stream, handler)
             except Exception as error:
-                # A fault in one answer must not end the process.
+                # An error in one handler must not end the process.
                 self._log.change("answer_failed", why=repr(error))
 
         return serve
 
-    def _answer_ready(self, proxy: SessionProxy) -> Handler:
+    def _readiness_handler(self, proxy: SessionProxy) -> Handler:
         async def handle(request: HttpRequest) -> HttpResponse:
             if request.path != READY_PATH:
                 return HttpResponse(404, {"error": f"ask {READY_PATH}"})
             return HttpResponse(200 if proxy.is_ready else 503, {"ready": proxy.is_ready})
 
-        return self._http(handle)
+        return self._http_handler(handle)
 
 
 def main() -> None:
--- a/wharftiller/platform/objects.py
+++ b/wharftiller/platform/objects.py
@@ -1,4 +1,4 @@
-"""What the platform's objects say, decoded once: configuration, endpoints, boxes, the record."""
+"""The platform's objects: configuration, endpoints, boxes and the leadership record."""
 
 from __future__ import annotations
 
@@ -42,83 +42,83 @@
 
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
-"""The operator's configuration is one object."""
+"""Kind and name of the object with the operator's configuration."""
 
 ENDPOINT_KIND = "servers"
 """Kind of the objects by which endpoints register themselves."""
 
-LEADS = "primary"
-LEAVES = "draining"
-ENDPOINT_ROLES = frozenset({LEADS, "replica"})
-ENDPOINT_STATES = frozenset({"ready", LEAVES})
-"""Words by which endpoints say what they are."""
+PRIMARY_ROLE = "primary"
+LEAVING_STATE = "draining"
+ENDPOINT_ROLES = frozenset({PRIMARY_ROLE, "replica"})
+ENDPOINT_STATES = frozenset({"ready", LEAVING_STATE})
+"""Values of an endpoint's role and state."""
 
 STARTED_FIELD = "born"
-"""Where an endpoint says when its process started, in milliseconds of the Unix clock."""
+"""Field with the start time of an endpoint's process, in milliseconds of Unix time."""
 
 OWN_KIND = "wharftiller"
-"""Kind of everything that boxes keep."""
+"""Kind of the objects that boxes write."""
 
 RECORD_NAME = "leadership"
-"""Name of the record of leadership."""
+"""Name of the object with the leadership record."""
 
 ERA_FIELD = "era"
-"""Field of the record that names the platform's era in which it was written."""
+"""Field of the leadership record: era of the platform's store in which it was written."""
 
 BOX_PREFIX = "box."
-"""Goes before a box's name in the name of its entry."""
+"""Prefix of a box's name in the name of its object."""
 
-AFTER_BOXES = "box/"
-"""Follows the name of every box's entry and goes before the record's: lists are in the order
-of names."""
+BOX_PREFIX_END = "box/"
+"""Sorts after the names of all boxes' objects and before the leadership record's: lists are sorted
+by name."""
 
 DEFAULT_TIMEOUT_MS = 2_000
-"""A statement's time-out where a route names none, in milliseconds: as long as callers wait
-for a session to open."""
+"""Statement timeout of a route that sets none, in milliseconds: the time that callers wait for a
+session to open."""
 
 DEFAULT_GOAL_MS = 500
-"""A route's latency goal where it names none, in milliseconds: a quarter of the time-out."""
+"""Latency goal of a route that sets none, in milliseconds."""
 
 DEFAULT_PRIORITY = 2
-"""Priority of a route that names none: after those that name 0 or 1."""
+"""Priority of a route that sets none; a lower number comes first."""
 
 DEFAULT_TX_IDLE_MS = 3_000
-"""How long a transaction may rest where no limit is named, in milliseconds."""
+"""Idle limit of transactions where the configuration sets none, in milliseconds."""
 
 
 KEYS_FIELD = "ApiKeys"
-"""Where the operator's document lists a workspace's keys, which are secrets."""
+"""Field of the operator's document with a workspace's keys, which are secret."""
 
 DIGESTS_FIELD = "KeyDigests"
-"""Where a document that boxes hand one another lists the keys' digests instead."""
+"""Field that replaces `KEYS_FIELD` in the documents that boxes send each other."""
 
 
-class EndpointNotUnderstoodError(WharfError):
-    """An entry among the endpoints' that names none."""
+class InvalidEndpointError(WharfError):
+    """An object of the endpoints' kind that does not describe an endpoint."""
 
     kind = "endpoint_not_understood"
 
 
 def decode_configuration(document: Any, *, needs_workspaces: bool = False) -> SessionConfiguration:
-    """Return the configuration that the operator's document, or another box's copy, holds.
+    """Decode the configuration from the operator's document or another box's copy of it.
 
     Parameters
     ----------
     needs_workspaces : bool
-        Whether a document that lists no workspaces is refused.
+        Whether a document without workspaces is invalid.
 
     Raises
     ------
     ConfigurationError
-        If it lacks something; the message tells no key.
+        If the document is invalid; the message contains no key.
     """
     try:
         return _decode_configuration(document, needs_workspaces)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        # Of a value that is no number the error would tell the value.
+        # The text of a ValueError contains the value, which may be a secret.
         why = f"no {error}" if isinstance(error, KeyError) else type(error).__name__
         raise ConfigurationError(
-            f"the configuration is not as the platform describes it: {why}; write it anew"
+            f"invalid configuration document: {why}; correct it as the platform describes it"
         ) from None
 
 
@@ -126,28 +126,30 @@
     routes = [_route(each) for each in document["Routes"]]
     groups = [_group(each) for each in document["Services"]]
     idle_ms = (document.get("Limits") or {}).get("TxIdleMs") or DEFAULT_TX_IDLE_MS
-    listed = document["Tenants"] if needs_workspaces else document.get("Tenants")
-    kept = document if listed is None else {**document, "Tenants": [_tenant(t) for t in listed]}
+    tenants = document["Tenants"] if needs_workspaces else document.get("Tenants")
+    sanitized = (
+        document if tenants is None else {**document, "Tenants": [_tenant(t) for t in tenants]}
+    )
     return SessionConfiguration(
         int(document["Version"]),
         {route.database: route for route in routes},
         {group.name: group for group in groups},
         float(idle_ms) / 1000,
-        None if listed is None else _workspaces(kept["Tenants"]),
-        kept,
+        None if tenants is None else _workspaces(sanitized["Tenants"]),
+        sanitized,
     )
 
 
 def _tenant(value: Any) -> dict[str, Any]:
-    """Return what the document says of a workspace, with digests in place of keys."""
-    kept = {name: field for name, field in value.items() if name != KEYS_FIELD}
+    """Return a workspace of the document with its keys replaced by their digests."""
+    sanitized = {name: field for name, field in value.items() if name != KEYS_FIELD}
     if KEYS_FIELD in value:
-        kept[DIGESTS_FIELD] = [digest_of_key(str(key)) for key in value[KEYS_FIELD]]
-    return kept
+        sanitized[DIGESTS_FIELD] = [digest_of_key(str(key)) for key in value[KEYS_FIELD]]
+    return sanitized
 
 
 def _workspaces(tenants: list[dict[str, Any]]) -> WorkspaceDirectory:
-    """Return the directory; the platform calls a workspace a tenant."""
+    """Return the directory of workspaces, which the platform calls tenants."""
     return WorkspaceDirectory((_workspace(each), each[DIGESTS_FIELD]) for each in tenants)
 
 
@@ -169,7 +171,7 @@
 def _route(value: Any) -> Route:
     return Route(
         name=str(value["Name"]),
-        # The platform calls the database's name a host.
+        # "Host" is the platform's name for the database.
         database=str(value["Host"]),
         group=str(value["Service"]),
         consistency=_consistency(value),
@@ -181,41 +183,41 @@
 
 
 def _consistency(value: Any) -> Consistency:
-    age_s = float(value.get("MaxStalenessMs") or 0) / 1000
+    max_age_s = float(value.get("MaxStalenessMs") or 0) / 1000
     match value.get("Kind"):
         case "bounded_staleness":
-            return BoundedReads(age_s)
+            return BoundedReads(max_age_s)
         case "read_own_writes":
-            return OwnWritesReads(age_s)
+            return OwnWritesReads(max_age_s)
         case _:
-            # The strictest reading is right for every kind.
+            # The strictest consistency satisfies unknown kinds too.
             return PrimaryReads()
 
 
 def decode_endpoint(stored: StoredObject, bounds: PlatformBounds) -> EndpointEntry:
-    """Return the endpoint that registered itself in ``stored``.
+    """Decode the object of an endpoint.
 
     Raises
     ------
-    EndpointNotUnderstoodError
-        If the entry lacks something or holds something else: another writer's names no endpoint.
+    InvalidEndpointError
+        If a field is missing or invalid.
     """
     spec = stored.spec
     if not isinstance(spec, dict):
-        raise EndpointNotUnderstoodError("it holds no fields")
+        raise InvalidEndpointError("it is not a table of fields")
     address = _text(spec, "Address")
     try:
         split_address(address)
     except ValueError as error:
-        raise EndpointNotUnderstoodError(str(error)) from None
-    state = _word(spec, "State", ENDPOINT_STATES)
+        raise InvalidEndpointError(str(error)) from None
+    state = _choice(spec, "State", ENDPOINT_STATES)
     return EndpointEntry(
         name=stored.name,
         group=_text(spec, "Service"),
         address=address,
         data_centre=_text(spec, "Zone"),
-        leads=_word(spec, "DbRole", ENDPOINT_ROLES) == LEADS,
-        leaving=state == LEAVES,
+        leads=_choice(spec, "DbRole", ENDPOINT_ROLES) == PRIMARY_ROLE,
+        leaving=state == LEAVING_STATE,
         leaving_serves_s=bounds.leaving_serves_s,
         started_ms=_started_ms(spec),
     )
@@ -224,82 +226,84 @@
 def _text(spec: dict[str, Any], name: str) -> str:
     value = spec.get(name)
     if not isinstance(value, str) or not value:
-        raise EndpointNotUnderstoodError(f"its {name} is no text")
+        raise InvalidEndpointError(f"its {name} is missing or not a text")
     return value
 
 
-def _word(spec: dict[str, Any], name: str, known: frozenset[str]) -> str:
+def _choice(spec: dict[str, Any], name: str, allowed: frozenset[str]) -> str:
     value = _text(spec, name)
-    if value not in known:
-        raise EndpointNotUnderstoodError(f"its {name} is none of {', '.join(sorted(known))}")
+    if value not in allowed:
+        raise InvalidEndpointError(f"its {name} is none of {', '.join(sorted(allowed))}")
     return value
 
 
 def _started_ms(spec: dict[str, Any]) -> int | None:
-    """Return when the endpoint's process started; None if it does not say so."""
+    """Return when the endpoint's process started; None if it is not reported."""
     value = spec.get(STARTED_FIELD)
     if value is None:
         return None
     if not isinstance(value, int) or isinstance(value, bool):
-        raise EndpointNotUnderstoodError(f"its {STARTED_FIELD} is no whole number")
+        raise InvalidEndpointError(f"its {STARTED_FIELD} is no whole number")
     return value
 
 
 class EndpointDecoder:
-    """Decodes lists of endpoints; what cannot be understood is said once."""
+    """Decodes lists of endpoints; logs each invalid object once per revision."""
 
     def __init__(self, bounds: PlatformBounds, log: DecisionLog) -> None:
         self._bounds = bounds
         self._log = log
-        self._said: dict[str, int] = {}
+        self._reported: dict[str, int] = {}
 
     def decode(self, objects: dict[str, StoredObject]) -> list[EndpointEntry]:
-        """Return every endpoint that can be understood; the others hold nobody up."""
+        """Return the valid endpoints; invalid ones are logged and skipped."""
         entries = []
         for stored in objects.values():
             try:
                 entries.append(decode_endpoint(stored, self._bounds))
-            except EndpointNotUnderstoodError as error:
-                self._say(stored, str(error))
-        self._said = {name: said for name, said in self._said.items() if name in objects}
+            except InvalidEndpointError as error:
+                self._log_invalid(stored, str(error))
+        self._reported = {
+            name: revision for name, revision in self._reported.items() if name in objects
+        }
         return entries
 
-    def _say(self, stored: StoredObject, why: str) -> None:
-        if self._said.get(stored.name) != stored.revision:
-            self._said[stored.name] = stored.revision
+    def _log_invalid(self, stored: StoredObject, why: str) -> None:
+        if self._reported.get(stored.name) != stored.revision:
+            self._reported[stored.name] = stored.revision
             self._log.event("endpoint_not_understood", endpoint=stored.name, why=why)
 
 
 class SharedPlatformObjects:
-    """The boxes' list and the record of leadership, kept as objects of one kind."""
+    """The list of boxes and the leadership record, stored as objects of one kind."""
 
     def __init__(self, store: ObjectStore, log: DecisionLog) -> None:
         self._store = store
         self._log = log
         self._last: PlatformSnapshot | None = None
-        self._is_calm = False
+        self._is_unchanged = False
 
     async def read(self) -> PlatformSnapshot:
-        """Read everything as it stands now.
+        """Read the current snapshot.
 
-        While nothing changes only the record is listed, whose answer tells the platform's
-        revision: where that is the last list's, no entry has changed, and the bytes of all
-        entries need not cross between data centres.
+        After two lists without a change only the leadership record is listed. Its response has
+        the platform's revision: if that is unchanged, the last snapshot is still valid, which
+        saves the transfer of all boxes' objects between data centres.
         """
         last = self._last
-        if last is not None and self._is_calm:
-            _, revision = await self._store.list_all(OWN_KIND, after=AFTER_BOXES)
+        if last is not None and self._is_unchanged:
+            _, revision = await self._store.list_all(OWN_KIND, after=BOX_PREFIX_END)
             if revision == last.revision:
                 return last
-        listing = await self._read_all()
-        self._is_calm = last is not None and listing.revision == last.revision
-        self._last = listing
-        return listing
+        snapshot = await self._read_all()
+        self._is_unchanged = last is not None and snapshot.revision == last.revision
+        self._last = snapshot
+        return snapshot
 
     async def _read_all(self) -> PlatformSnapshot:
         objects, revision = await self._store.list_all(OWN_KIND)
         boxes: dict[str, Box] = {}
-        marks: dict[str, int] = {}
+        tombstones: dict[str, int] = {}
         record = LeadershipRecord(era=era_of(revision))
         for name, stored in objects.items():
             if name == RECORD_NAME:
@@ -309,9 +313,9 @@
                 if box is not None:
                     boxes[box.name] = box
                     if box.retired:
-                        marks[box.name] = stored.revision
+                        tombstones[box.name] = stored.revision
         revisions = {name: stored.revision for name, stored in objects.items()}
-        return PlatformSnapshot(record, boxes, revision, marks, revisions)
+        return PlatformSnapshot(record, boxes, revision, tombstones, revisions)
 
     def _decode_box(self, stored: StoredObject) -> Box | None:
         try:
@@ -326,32 +330,32 @@
             record = record_from_json(stored.spec, stored.revision)
         except BadRequestError as error:
             raise PlatformUnavailableError(str(error)) from error
-        # Written in an era before this one, it may be older than what was acknowledged then.
-        written_in = stored.spec.get(ERA_FIELD)
+        # A record of an earlier era may be older than an update acknowledged in that era.
+        record_era = stored.spec.get(ERA_FIELD)
         era = era_of(stored.revision)
-        is_confirmed = written_in is None or written_in == era
+        is_confirmed = record_era is None or record_era == era
         return attrs.evolve(record, is_confirmed=is_confirmed, era=era)
 
     async def register(self, box: Box) -> None:
-        """Put ``box`` into the list, or its new process in its place."""
+        """Add ``box`` to the list, or replace the entry of its former process."""
         name = BOX_PREFIX + box.name
         spec = attrs.asdict(box)
-        stands = await self._store.put(OWN_KIND, name, spec, 0)
-        if stands.spec != spec:
+        stored = await self._store.put(OWN_KIND, name, spec, 0)
+        if stored.spec != spec:
             await self._store.put(OWN_KIND, name, spec, None)
 
     async def retire(self, box: Box, by: str) -> None:
-        """Mark a box as dead."""
+        """Write a box's tombstone."""
         await self._store.put(
             OWN_KIND, BOX_PREFIX + box.name, attrs.asdict(attrs.evolve(box, retired=by)), None
         )
 
     async def withdraw(self, box: Box) -> None:
-        """Take ``box`` out of the list."""
+        """Remove ``box`` from the list."""
         await self._store.delete(OWN_KIND, BOX_PREFIX + box.name)
 
     async def replace_record(self, record: LeadershipRecord) -> LeadershipRecord:
-        """Replace the record of ``record.revision``; return what stands there afterwards."""
+        """Replace the record if it is at ``record.revision``; return the one then stored."""
         spec = {**record_to_json(record), ERA_FIELD: self._store.era}
-        stands = await self._store.put(OWN_KIND, RECORD_NAME, spec, record.revision)
-        return self._record(stands)
+        stored = await self._store.put(OWN_KIND, RECORD_NAME, spec, record.revision)
+        return self._record(stored)
