--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -67,7 +67,7 @@
     share: Callable[[], int]
     via: str | None = None
     counts: ConnectionCounts = attrs.field(factory=ConnectionCounts)
-    _numbers: itertools.count[int] = attrs.field(factory=lambda: itertools.count(1))
+    _sequence: itertools.count[int] = attrs.field(factory=lambda: itertools.count(1))
     _idle: list[PooledConnection] = attrs.field(factory=list)
     _all: set[PooledConnection] = attrs.field(factory=set)
     _opening: int = 0
@@ -100,7 +100,7 @@
 
         Those of transactions that rest between statements take nothing of the endpoint.
         """
-        return sum(1 for each in self._all if each.asking) + self._opening
+        return sum(1 for each in self._all if each.is_busy) + self._opening
 
     @property
     def _may_open(self) -> bool:
@@ -140,13 +140,13 @@
         workspace = session.workspace_name
         return await self._acquire(workspace, session.values, priority, arrived_at, limit)
 
-    async def acquire_for_box(self, priority: int, patience_s: float) -> PooledConnection:
+    async def acquire_for_box(self, priority: int, timeout_s: float) -> PooledConnection:
         """Return a connection for this box's own statements, whosever it is.
 
         Raises as `acquire` does.
         """
         now = trio.current_time()
-        limit = WaitLimit(now + patience_s, now + patience_s)
+        limit = WaitLimit(now + timeout_s, now + timeout_s)
         return await self._acquire(None, {}, priority, now, limit)
 
     async def _acquire(
@@ -158,20 +158,20 @@
         limit: WaitLimit,
     ) -> PooledConnection:
         """Return an idle connection of ``workspace``, of any if None, or a new one."""
-        turn = QueueKey(priority, arrived_at, next(self._numbers))
-        begun = False
+        key = QueueKey(priority, arrived_at, next(self._sequence))
+        has_waited = False
         while True:
             self._drop_closed()
             if self._running >= self._limit.places(self.share() + EXTRA_CONNECTIONS):
-                await self._wait(turn, limit, begun=begun)
-                begun = True
+                await self._wait(key, limit, has_waited=has_waited)
+                has_waited = True
                 continue
             idle = self._take_idle(workspace, values)
             if idle is not None:
                 return idle
             if not self._has_room() and not self._make_room():
-                await self._wait(turn, limit, begun=begun)
-                begun = True
+                await self._wait(key, limit, has_waited=has_waited)
+                has_waited = True
                 continue
             opened = await self._open(workspace or "")
             if opened is not None:
@@ -211,15 +211,15 @@
         self._idle.remove(connection)
         return connection
 
-    def _expected_wait_s(self, turn: QueueKey) -> float:
+    def _expected_wait_s(self, key: QueueKey) -> float:
         """Return how long it takes at least until a statement gets its turn, in seconds."""
         places = max(1, self._limit.places(self.share() + EXTRA_CONNECTIONS))
-        queue_s = (self._queue.ahead(turn) + 1) * self.row.service_s / places
+        queue_s = (self._queue.ahead(key) + 1) * self.row.service_s / places
         if self._all:
             return queue_s
         return queue_s + max(0.0, self._refused_until - trio.current_time())
 
-    async def _wait(self, turn: QueueKey, limit: WaitLimit, *, begun: bool) -> None:
+    async def _wait(self, key: QueueKey, limit: WaitLimit, *, has_waited: bool) -> None:
         """Wait for a connection.
 
         Parameters
@@ -232,39 +232,39 @@
         EndpointRefusedError
             If none comes in time, or probably not.
         """
-        expected_s = self._expected_wait_s(turn)
-        latest = limit.until if begun else limit.begun_until
+        expected_s = self._expected_wait_s(key)
+        latest = limit.until if has_waited else limit.begun_until
         if trio.current_time() + expected_s > latest:
             detail = f"the queue for {self.row.name} takes {expected_s:.2f} s"
             raise EndpointRefusedError(
                 detail, at_limit=True, queue_s=expected_s if self._all else None
             )
-        waiter = self._queue.join(turn)
+        waiter = self._queue.join(key)
         try:
             with trio.move_on_at(limit.until):
-                await self._wait_turn(waiter)
+                await self._wait_until_woken(waiter)
                 return
         except trio.Cancelled:
-            self._stop_waiting(waiter)
+            self._leave_queue(waiter)
             raise
-        self._stop_waiting(waiter)
+        self._leave_queue(waiter)
         raise EndpointRefusedError(
             f"{self.row.name} had no free place in time",
             at_limit=True,
             queue_s=self.row.service_s if self._all else None,
         )
 
-    async def _wait_turn(self, waiter: Waiter) -> None:
+    async def _wait_until_woken(self, waiter: Waiter) -> None:
         """Wait until woken or, where more connections may be held, until one may be asked for."""
         while True:
-            with trio.move_on_at(self._look_again_at(waiter)):
+            with trio.move_on_at(self._recheck_at(waiter)):
                 await waiter.woken.wait()
                 return
             if self._may_open and not self._opening and self._queue.is_first(waiter):
                 self._queue.discard(waiter)
                 return
 
-    def _look_again_at(self, waiter: Waiter) -> float:
+    def _recheck_at(self, waiter: Waiter) -> float:
         """Return when ``waiter`` looks whether to ask the endpoint, in seconds."""
         if not self._may_open:
             # Whoever gives a connection back wakes the next.
@@ -274,7 +274,7 @@
             return self._refused_until
         return now + REFUSED_PAUSE_S
 
-    def _stop_waiting(self, waiter: Waiter) -> None:
+    def _leave_queue(self, waiter: Waiter) -> None:
         """Wait no longer; who was woken meanwhile passes that on."""
         if not self._queue.discard(waiter):
             self.wake_next()
@@ -291,7 +291,7 @@
             link = await self._dial(workspace)
             if link is not None:
                 self.counts.opened += 1
-                number = next(self._numbers)
+                number = next(self._sequence)
                 connection = PooledConnection(number, self, link, workspace, self.via)
                 self._all.add(connection)
         finally:
@@ -310,7 +310,7 @@
             self.row.failed(started)
             raise ExchangeError(f"{self.row.name} took no connection in time") from None
         except EndpointRefusedError as error:
-            self._refused(error)
+            self._record_refusal(error)
             if error.at_limit:
                 return None
             raise
@@ -320,7 +320,7 @@
         self.row.heard(trio.current_time())
         return link
 
-    def _refused(self, error: EndpointRefusedError) -> None:
+    def _record_refusal(self, error: EndpointRefusedError) -> None:
         if error.at_limit:
             self._refused_until = trio.current_time() + REFUSED_PAUSE_S
             # It answered: it is full, not silent.
--- a/wharftiller/daemons/sessions/connections/pooled_connection.py
+++ b/wharftiller/daemons/sessions/connections/pooled_connection.py
@@ -24,10 +24,10 @@
     from wharftiller.daemons.sessions.connections.pool import EndpointPool
     from wharftiller.daemons.sessions.interfaces import EndpointConnection
 
-OwnStatement = ResetSession | SetValue | Prepare
+SetupStatement = ResetSession | SetValue | Prepare
 """What a box runs for itself before a caller's statement."""
 
-PREPARED_KEPT = 200
+MAX_PREPARED = 200
 """Prepared names kept on one connection before it is reset."""
 
 
@@ -60,7 +60,7 @@
     prepared: dict[PreparedStatement, str] = attrs.field(factory=dict)
     idle_since: float = 0.0
     broken: bool = False
-    asking: bool = False
+    is_busy: bool = False
 
     async def ask(self, query: EndpointQuery) -> Reply:
         """Run one statement; the connection is useless unless an answer comes.
@@ -95,9 +95,11 @@
         ExchangeError
             If the connection breaks or the endpoint refuses one of them.
         """
-        own = self._own_statements(session, needed, may_reset)
-        if own:
-            self._took(own, await self._exchange([EndpointQuery(body) for body in own]))
+        setup = self._setup_statements(session, needed, may_reset)
+        if setup:
+            self._apply_replies(
+                setup, await self._exchange([EndpointQuery(body) for body in setup])
+            )
 
     async def begin(self, session: Session, query: EndpointQuery) -> Reply:
         """Give the connection the session's values and open a transaction, in one write.
@@ -109,28 +111,30 @@
         ExchangeError
             If the connection breaks or the endpoint refuses a value.
         """
-        own = self._own_statements(session, None, may_reset=True)
-        *taken, reply = await self._exchange([*(EndpointQuery(body) for body in own), query])
-        self._took(own, taken)
+        setup = self._setup_statements(session, None, may_reset=True)
+        *taken, reply = await self._exchange([*(EndpointQuery(body) for body in setup), query])
+        self._apply_replies(setup, taken)
         return attrs.evolve(reply, endpoint=self.pool.row.name)
 
-    def _own_statements(
+    def _setup_statements(
         self, session: Session, needed: PreparedStatement | None, may_reset: bool
-    ) -> list[OwnStatement]:
+    ) -> list[SetupStatement]:
         """Return what this box must run so that a statement of ``session`` may follow."""
-        own: list[OwnStatement] = []
+        setup: list[SetupStatement] = []
         values, prepared = self.values, self.prepared
-        if may_reset and (values.keys() - session.values.keys() or len(prepared) > PREPARED_KEPT):
-            own.append(ResetSession())
+        if may_reset and (values.keys() - session.values.keys() or len(prepared) > MAX_PREPARED):
+            setup.append(ResetSession())
             values, prepared = {}, {}
-        own += [SetValue(n, value) for n, value in session.values.items() if values.get(n) != value]
+        setup += [
+            SetValue(n, value) for n, value in session.values.items() if values.get(n) != value
+        ]
         if needed is not None and needed not in prepared:
-            own.append(Prepare(f"p{len(prepared) + 1}", needed))
-        return own
+            setup.append(Prepare(f"p{len(prepared) + 1}", needed))
+        return setup
 
-    def _took(self, own: list[OwnStatement], replies: list[Reply]) -> None:
+    def _apply_replies(self, setup: list[SetupStatement], replies: list[Reply]) -> None:
         """Note what the endpoint took."""
-        for body, reply in zip(own, replies, strict=True):
+        for body, reply in zip(setup, replies, strict=True):
             if reply.refusal is not None:
                 self.broken = True
                 raise ExchangeError(f"{self.pool.row.name} refused {body}: {reply.refusal}")
@@ -147,15 +151,15 @@
         """Send ``queries`` in one write and return all replies."""
         row = self.pool.row
         row.sent(self.number, trio.current_time())
-        done = False
-        self.asking = True
+        has_replies = False
+        self.is_busy = True
         try:
             replies = await self.link.ask(queries)
-            done = True
+            has_replies = True
         finally:
-            self.asking = False
+            self.is_busy = False
             self.pool.wake_next()
-            if not done:
+            if not has_replies:
                 self.broken = True
                 row.given_up(self.number, trio.current_time())
         # What this box runs for itself takes no slot: it says nothing of how long work takes.
--- a/wharftiller/daemons/sessions/connections/probes.py
+++ b/wharftiller/daemons/sessions/connections/probes.py
@@ -24,7 +24,7 @@
 STATUS_TIMEOUT_S = 0.6
 """Time to open a connection and be told the state, in seconds."""
 
-TRY_DIRECT_S = 0.7
+DIRECT_RETRY_S = 0.7
 """Time between tries of the direct way while another box is in between, in seconds."""
 
 QUIET_PRIMARY_S = 0.8
@@ -65,19 +65,19 @@
                 if not self._state.serves_group(row.entry.group):
                     # Its homes look after it; connections to it are few.
                     continue
-                quiet_lead = row.name in leads and self._is_quiet(row, now)
-                if row.is_suspect(now) or quiet_lead:
+                is_quiet_primary = row.name in leads and self._lacks_contact(row, now)
+                if row.is_suspect(now) or is_quiet_primary:
                     self._probing.add(row.name)
                     self._nursery.start_soon(self._probe, row, row.name in leads)
                 elif self._state.endpoints.relay_for(row) is not None:
                     self._probing.add(row.name)
                     self._nursery.start_soon(self._try_direct, row)
 
-    def _is_quiet(self, row: EndpointRow, now: float) -> bool:
+    def _lacks_contact(self, row: EndpointRow, now: float) -> bool:
         """Return whether neither this box nor one that told it heard the primary lately."""
         newest = self._state.positions.of_group(row.entry.group).newest
-        told_at = -math.inf if newest is None else newest.at
-        return now - max(row.last_contact_at, told_at) > QUIET_PRIMARY_S
+        reported_at = -math.inf if newest is None else newest.at
+        return now - max(row.last_contact_at, reported_at) > QUIET_PRIMARY_S
 
     async def check(self, names: list[str]) -> None:
         """Ask those of the endpoints that were not heard lately, for another box.
@@ -93,8 +93,8 @@
                     continue
                 if not self._state.serves_group(row.entry.group):
                     continue
-                since = row.unreachable_since
-                if since is None or now - since < STATUS_TIMEOUT_S:
+                unreachable_since = row.unreachable_since
+                if unreachable_since is None or now - unreachable_since < STATUS_TIMEOUT_S:
                     nursery.start_soon(self._check, row)
 
     async def _check(self, row: EndpointRow) -> None:
@@ -105,28 +105,28 @@
             self._state.log.event("no_status", endpoint=row.name, why=str(error))
 
     async def _probe(self, row: EndpointRow, leads: bool) -> None:
-        before = row.unreachable_since
+        unreachable_before = row.unreachable_since
         try:
             await self.status(row)
         except (ExchangeError, EndpointRefusedError) as error:
-            if before is None:
+            if unreachable_before is None:
                 self._state.log.event("endpoint_silent", endpoint=row.name, why=str(error))
             if leads:
-                self._change_way(row)
+                self._switch_relay(row)
         else:
-            if before is not None:
+            if unreachable_before is not None:
                 self._state.log.change("endpoint_answers", endpoint=row.name)
                 self._state.wake()
         finally:
             self._probing.discard(row.name)
 
-    def _change_way(self, row: EndpointRow) -> None:
+    def _switch_relay(self, row: EndpointRow) -> None:
         """Reach a primary that does not answer through another box, or directly again."""
         pool = self._state.endpoints.pool(row)
-        way = None if pool.via is not None else self._directory.relay_to(row.name)
-        if way != pool.via:
-            pool.set_relay(way)
-            self._state.log.change("way_changed", endpoint=row.name, via=way)
+        relay = None if pool.via is not None else self._directory.relay_to(row.name)
+        if relay != pool.via:
+            pool.set_relay(relay)
+            self._state.log.change("way_changed", endpoint=row.name, via=relay)
             self._state.wake()
 
     async def _try_direct(self, row: EndpointRow) -> None:
@@ -140,7 +140,7 @@
         except (ExchangeError, EndpointRefusedError) as error:
             self._state.log.event("direct_way_fails", endpoint=row.name, why=str(error))
         finally:
-            await trio.sleep(TRY_DIRECT_S)
+            await trio.sleep(DIRECT_RETRY_S)
             self._probing.discard(row.name)
 
     async def status(self, row: EndpointRow) -> EndpointStatus | None:
@@ -155,23 +155,23 @@
         """
         started = trio.current_time()
         pool = self._state.endpoints.pool(row)
-        kept = pool.has_idle
+        had_idle = pool.has_idle
         with trio.move_on_after(STATUS_TIMEOUT_S):
             try:
-                status = await self._ask(row)
+                status = await self._fetch_status(row)
             except ExchangeError:
-                if not kept:
+                if not had_idle:
                     raise
                 # Kept connections may have broken while the endpoint was away; a new one tells.
                 pool.drop_idle()
-                status = await self._ask(row)
+                status = await self._fetch_status(row)
             row.heard(trio.current_time())
             return status
         row.failed(started)
         pool.drop_idle()
         raise ExchangeError(f"{row.name} told no state within {STATUS_TIMEOUT_S} s")
 
-    async def _ask(self, row: EndpointRow) -> EndpointStatus | None:
+    async def _fetch_status(self, row: EndpointRow) -> EndpointStatus | None:
         started = trio.current_time()
         pool = self._state.endpoints.pool(row)
         connection = await pool.acquire_for_box(PROBE_PRIORITY, STATUS_TIMEOUT_S)
--- a/wharftiller/daemons/sessions/connections/relay.py
+++ b/wharftiller/daemons/sessions/connections/relay.py
@@ -20,13 +20,13 @@
     from wharftiller.edges.transport import Transport
 
 VERB = "RELAY"
-MAX_ASK_BYTES = 80
+MAX_REQUEST_BYTES = 80
 """Longest request for a relay: the verb, an address and the line's end."""
 
-ASK_TIMEOUT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """Time to name the address and to reach it, in seconds."""
 
-PIPE_BYTES = 16_384
+CHUNK_BYTES = 16_384
 
 
 async def open_through(transport: Transport, via: str, address: str) -> trio.abc.Stream:
@@ -61,51 +61,53 @@
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serve one connection until either side ends it."""
-        far: trio.abc.Stream | None = None
-        rest = b""
+        endpoint_stream: trio.abc.Stream | None = None
+        received = b""
         try:
-            with trio.move_on_after(ASK_TIMEOUT_S):
-                address, rest = await self._asked(stream)
+            with trio.move_on_after(CONNECT_TIMEOUT_S):
+                address, received = await self._receive_request(stream)
                 if not self._is_endpoint(address):
                     return
-                far = await self._transport.connect(address)
-            if far is not None:
-                await _pipe(stream, far, rest)
+                endpoint_stream = await self._transport.connect(address)
+            if endpoint_stream is not None:
+                await _pipe(stream, endpoint_stream, received)
         except (ExchangeError, trio.BrokenResourceError, trio.ClosedResourceError):
             # The other box sees its stream end and takes the endpoint as not reached.
             return
         finally:
-            if far is not None:
+            if endpoint_stream is not None:
                 with trio.CancelScope(shield=True):
-                    await close_now(far)
+                    await close_now(endpoint_stream)
 
     @staticmethod
-    async def _asked(stream: trio.abc.Stream) -> tuple[str, bytes]:
+    async def _receive_request(stream: trio.abc.Stream) -> tuple[str, bytes]:
         """Return the address asked for, and what came behind it."""
         data = b""
         while b"\r\n" not in data:
-            more = await stream.receive_some(MAX_ASK_BYTES)
+            more = await stream.receive_some(MAX_REQUEST_BYTES)
             data += more
-            if not more or len(data) > PIPE_BYTES:
+            if not more or len(data) > CHUNK_BYTES:
                 raise ExchangeError("no relay was asked for")
-        line, rest = data.split(b"\r\n", 1)
+        line, received = data.split(b"\r\n", 1)
         verb, _, address = line.decode("latin-1").partition(" ")
-        if verb != VERB or len(line) > MAX_ASK_BYTES:
+        if verb != VERB or len(line) > MAX_REQUEST_BYTES:
             raise ExchangeError(f"{line[:20]!r} asks for no relay")
-        return address, rest
+        return address, received
 
 
-async def _pipe(near: trio.abc.Stream, far: trio.abc.Stream, first: bytes) -> None:
-    if first:
-        await far.send_all(first)
+async def _pipe(
+    box_stream: trio.abc.Stream, endpoint_stream: trio.abc.Stream, received: bytes
+) -> None:
+    if received:
+        await endpoint_stream.send_all(received)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_copy, near, far, nursery.cancel_scope)
-        await _copy(far, near, nursery.cancel_scope)
+        nursery.start_soon(_copy, box_stream, endpoint_stream, nursery.cancel_scope)
+        await _copy(endpoint_stream, box_stream, nursery.cancel_scope)
 
 
 async def _copy(source: trio.abc.Stream, sink: trio.abc.Stream, scope: trio.CancelScope) -> None:
     try:
-        while data := await source.receive_some(PIPE_BYTES):
+        while data := await source.receive_some(CHUNK_BYTES):
             await sink.send_all(data)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
         # One side is gone; the scope below ends the other.
--- a/wharftiller/daemons/sessions/connections/wait_queue.py
+++ b/wharftiller/daemons/sessions/connections/wait_queue.py
@@ -37,7 +37,7 @@
         Set when it is its turn.
     """
 
-    turn: QueueKey
+    key: QueueKey
     woken: trio.Event = attrs.field(factory=trio.Event, order=False)
 
 
@@ -50,13 +50,13 @@
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def ahead(self, turn: QueueKey) -> int:
-        """Return how many go before ``turn``."""
-        return sum(1 for each in self._waiters if each.turn < turn)
+    def ahead(self, key: QueueKey) -> int:
+        """Return how many go before ``key``."""
+        return sum(1 for each in self._waiters if each.key < key)
 
-    def join(self, turn: QueueKey) -> Waiter:
+    def join(self, key: QueueKey) -> Waiter:
         """Add a statement."""
-        waiter = Waiter(turn)
+        waiter = Waiter(key)
         heapq.heappush(self._waiters, waiter)
         return waiter
 
--- a/wharftiller/daemons/sessions/forwarding/executor.py
+++ b/wharftiller/daemons/sessions/forwarding/executor.py
@@ -21,15 +21,15 @@
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.edges.forwarded_json import ForwardedStatement
 
-REAP_S = 0.5
+REAP_POLL_S = 0.5
 """Time between looks for transactions that nobody uses any more, in seconds."""
 
-ABANDONED_S = 1.0
+ABANDONED_MARGIN_S = 1.0
 """Time beyond a transaction's longest rest after which its box must be gone, in seconds."""
 
 
 @attrs.define(eq=False)
-class _Held:
+class _OpenTransaction:
     """A transaction of another box.
 
     Attributes
@@ -49,16 +49,16 @@
 class ForwardedExecutor:
     """Runs other boxes' statements and holds their open transactions."""
 
-    def __init__(self, state: SharedState, gate: RateLimiter) -> None:
+    def __init__(self, state: SharedState, rate_limiter: RateLimiter) -> None:
         self._state = state
-        self._runner = StatementRunner(state, gate)
-        self._held: dict[str, _Held] = {}
+        self._runner = StatementRunner(state, rate_limiter)
+        self._transactions: dict[str, _OpenTransaction] = {}
         self._running = 0
 
     @property
     def count(self) -> int:
         """Statements that run and transactions that are open."""
-        return self._running + len(self._held)
+        return self._running + len(self._transactions)
 
     async def run(self, value: Any) -> dict[str, Any]:
         """Run one statement; return its reply as JSON.
@@ -68,87 +68,91 @@
         BadRequestError
             If the question holds none.
         """
-        asked = statement_from_json(value)
+        message = statement_from_json(value)
         self._running += 1
         try:
-            told = await self._run(asked)
+            forwarded = await self._run(message)
         finally:
             self._running -= 1
-        return reply_to_json(told)
+        return reply_to_json(forwarded)
 
-    async def _run(self, asked: ForwardedStatement) -> ForwardedReply:
+    async def _run(self, message: ForwardedStatement) -> ForwardedReply:
         now = trio.current_time()
-        session = self._session(asked, now)
-        if self._lacks_workspace(asked):
-            detail = f"{asked.box} told no workspace of it; every box must know workspaces"
+        session = self._session(message, now)
+        if self._lacks_workspace(message):
+            detail = f"{message.box} told no workspace of it; every box must know workspaces"
             reply = refused(RefusalKind.UNKNOWN_KEY, detail, SessionState.IDLE)
         elif session is None:
             detail = f"{self._state.box} does not know the transaction; it was rolled back"
             error = StatementRefusedError(RefusalKind.ROLLED_BACK, detail, Cause.BOX_LOST)
-            reply = error.reply(asked.statement, SessionState.FAILED)
+            reply = error.reply(message.statement, SessionState.FAILED)
         else:
-            reply = await self._run_in(session, asked, now - asked.age_s)
-        return self._told(asked, session, reply)
+            reply = await self._run_in_session(session, message, now - message.age_s)
+        return self._forwarded_reply(message, session, reply)
 
-    def _lacks_workspace(self, asked: ForwardedStatement) -> bool:
+    def _lacks_workspace(self, message: ForwardedStatement) -> bool:
         """Return whether it needs a workspace and none is told, as by boxes that know of none."""
         configuration = self._state.configuration
-        if asked.workspace is not None or configuration.workspaces is None:
+        if message.workspace is not None or configuration.workspaces is None:
             return False
-        route = configuration.routes.get(asked.route.database)
+        route = configuration.routes.get(message.route.database)
         return route is not None and not route.needs_no_key
 
-    def _session(self, asked: ForwardedStatement, now: float) -> Session | None:
+    def _session(self, message: ForwardedStatement, now: float) -> Session | None:
         """Return the session that the statement runs in; None if its transaction is unknown."""
-        held = self._held.get(asked.transaction)
-        if held is not None:
-            session = held.session
-        elif asked.transaction and not asked.begins:
+        transaction = self._transactions.get(message.transaction)
+        if transaction is not None:
+            session = transaction.session
+        elif message.transaction and not message.begins:
             return None
         else:
-            session = Session(0, asked.route.database, "", asked.workspace)
-        group = asked.route.group
-        session.values = asked.values
-        if asked.own_write is not None:
-            session.wrote(group, asked.own_write)
-        if asked.unsettled:
+            session = Session(0, message.route.database, "", message.workspace)
+        group = message.route.group
+        session.values = message.values
+        if message.own_write is not None:
+            session.wrote(group, message.own_write)
+        if message.unsettled:
             session.unsettled.add(group)
-        if asked.begins:
-            self._runner.begin_for_box(session, asked.route, asked.read_only, now - asked.begun_s)
-            self._held[asked.transaction] = _Held(session, now)
+        if message.begins:
+            self._runner.begin_for_box(
+                session, message.route, message.read_only, now - message.begun_s
+            )
+            self._transactions[message.transaction] = _OpenTransaction(session, now)
         return session
 
-    async def _run_in(
-        self, session: Session, asked: ForwardedStatement, arrived_at: float
+    async def _run_in_session(
+        self, session: Session, message: ForwardedStatement, arrived_at: float
     ) -> Reply:
-        self._name_prepared(session, asked)
-        held = self._held.get(asked.transaction)
-        if held is not None:
-            held.running = True
+        self._register_prepared(session, message)
+        transaction = self._transactions.get(message.transaction)
+        if transaction is not None:
+            transaction.running = True
         try:
-            return await self._runner.run_for_box(session, asked.route, asked.statement, arrived_at)
+            return await self._runner.run_for_box(
+                session, message.route, message.statement, arrived_at
+            )
         finally:
-            if held is not None:
-                held.running = False
-                held.used_at = trio.current_time()
-                if held.ended or session.state is not SessionState.IN_TRANSACTION:
-                    self._forget(asked.transaction)
+            if transaction is not None:
+                transaction.running = False
+                transaction.used_at = trio.current_time()
+                if transaction.ended or session.state is not SessionState.IN_TRANSACTION:
+                    self._remove(message.transaction)
 
     @staticmethod
-    def _name_prepared(session: Session, asked: ForwardedStatement) -> None:
-        match asked.statement.body:
-            case Execute(name) if asked.needed is not None:
-                session.prepared[name] = asked.needed
+    def _register_prepared(session: Session, message: ForwardedStatement) -> None:
+        match message.statement.body:
+            case Execute(name) if message.needed is not None:
+                session.prepared[name] = message.needed
 
-    def _told(
-        self, asked: ForwardedStatement, session: Session | None, reply: Reply
+    def _forwarded_reply(
+        self, message: ForwardedStatement, session: Session | None, reply: Reply
     ) -> ForwardedReply:
-        group = asked.route.group
+        group = message.route.group
         primary = self._state.startable(group)
         usable = primary is not None and not primary.is_suspect(trio.current_time())
         lacks = self._state.lacks_lease(group)
         if session is None:
-            return ForwardedReply(reply, asked.own_write, asked.unsettled, usable, lacks)
+            return ForwardedReply(reply, message.own_write, message.unsettled, usable, lacks)
         unsettled = group in session.unsettled
         return ForwardedReply(reply, session.own_writes.get(group), unsettled, usable, lacks)
 
@@ -158,29 +162,29 @@
             identity = str(value["transaction"])
         except (KeyError, TypeError) as error:
             raise BadRequestError(f"no transaction is named: {error!r}; run one version") from None
-        held = self._held.get(identity)
-        if held is not None:
-            held.ended = True
-            if not held.running:
-                self._forget(identity)
+        transaction = self._transactions.get(identity)
+        if transaction is not None:
+            transaction.ended = True
+            if not transaction.running:
+                self._remove(identity)
         return {}
 
-    def _forget(self, identity: str) -> None:
-        held = self._held.pop(identity, None)
-        if held is not None:
-            self._runner.end_transaction(held.session)
+    def _remove(self, identity: str) -> None:
+        transaction = self._transactions.pop(identity, None)
+        if transaction is not None:
+            self._runner.end_transaction(transaction.session)
 
     async def run_for_ever(self) -> None:
         """Roll back transactions whose box is gone, and watch the reads."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._runner.patience.run)
             while True:
-                await trio.sleep(REAP_S)
+                await trio.sleep(REAP_POLL_S)
                 self._reap(trio.current_time())
 
     def _reap(self, now: float) -> None:
-        longest_s = self._state.configuration.transaction_idle_s + ABANDONED_S
-        for identity, held in list(self._held.items()):
-            if not held.running and now - held.used_at > longest_s:
+        max_unused_s = self._state.configuration.transaction_idle_s + ABANDONED_MARGIN_S
+        for identity, transaction in list(self._transactions.items()):
+            if not transaction.running and now - transaction.used_at > max_unused_s:
                 self._state.log.event("transaction_abandoned", transaction=identity)
-                self._forget(identity)
+                self._remove(identity)
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -34,7 +34,7 @@
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.edges.forwarded_json import ForwardedReply
 
-GATEWAYS_TRIED = 3
+MAX_GATEWAYS_TRIED = 3
 """Homes that a statement is passed to, one after the other, before it is refused."""
 
 
@@ -42,16 +42,16 @@
     """The transaction did not begin at a home; another may be asked."""
 
 
-def _is_for_another(told: ForwardedReply, routed: RoutedStatement) -> bool:
+def _may_try_another(forwarded: ForwardedReply, routed: RoutedStatement) -> bool:
     """Return whether a home ran nothing because it lacks a lease that another may have.
 
     Where homes held the statement for its goal already, nobody is asked any more: in an outage
     beside a cut none of them may have a lease.
     """
-    refusal = told.reply.refusal
+    refusal = forwarded.reply.refusal
     ran_nothing = refusal is not None and refusal.has_not_run
     in_time = trio.current_time() < routed.arrived_at + routed.route.latency_goal_s
-    return told.lacks_lease and ran_nothing and in_time
+    return forwarded.lacks_lease and ran_nothing and in_time
 
 
 class Forwarder:
@@ -62,13 +62,13 @@
         state: SharedState,
         gateways: Gateways,
         directory: BoxDirectory,
-        links: GatewayClient,
+        client: GatewayClient,
         nursery: trio.Nursery,
     ) -> None:
         self._state = state
         self._gateways = gateways
         self._directory = directory
-        self._links = links
+        self._client = client
         self._nursery = nursery
 
     async def single(
@@ -77,27 +77,27 @@
         """Return the answer to a statement outside any transaction; None if none is to be asked."""
         try:
             routed = route_statement(session, route, statement, arrived_at)
-            return await self._single(routed)
+            return await self._forward_autocommit(routed)
         except StatementRefusedError as error:
             return error.reply(statement, SessionState.IDLE)
 
-    async def _single(self, routed: RoutedStatement) -> Reply | None:
+    async def _forward_autocommit(self, routed: RoutedStatement) -> Reply | None:
         may_have_run = False
         why = "no box that serves it answers"
         refusal: Reply | None = None
         tried: set[str] = set()
         for gateway in self._gateways_to_try(routed.route.group, tried):
             try:
-                told = await self._ask(gateway, routed, self._message(routed))
-                if not _is_for_another(told, routed):
-                    return told.reply
-                refusal = told.reply
+                forwarded = await self._send(gateway, routed, self._build_message(routed))
+                if not _may_try_another(forwarded, routed):
+                    return forwarded.reply
+                refusal = forwarded.reply
             except NotSentError as error:
                 why = str(error)
             except ExchangeError as error:
                 why = str(error)
                 if routed.writes:
-                    raise self._unknown(routed, why) from error
+                    raise self._outcome_unknown(routed, why) from error
                 may_have_run = True
         if self._gateways.choose(routed.route.group, tried) is None:
             # This box is a home, or the next one with those it asked gone.
@@ -138,7 +138,7 @@
         if gateway is None:
             detail = f"{remote.box}, which ran the transaction, is gone"
             raise StatementRefusedError(RefusalKind.ROLLED_BACK, detail, Cause.BOX_LOST)
-        return await self._ask_transaction(gateway, routed, transaction)
+        return await self._send_in_transaction(gateway, routed, transaction)
 
     async def _begin(self, routed: RoutedStatement, transaction: OpenTransaction) -> Reply | None:
         """Have a home begin the transaction with its first statement."""
@@ -147,7 +147,7 @@
         for gateway in self._gateways_to_try(routed.route.group, tried):
             transaction.remote = RemoteTransaction(gateway.name, secrets.token_hex(8))
             try:
-                return await self._ask_transaction(gateway, routed, transaction, begins=True)
+                return await self._send_in_transaction(gateway, routed, transaction, begins=True)
             except _NotBegunError as error:
                 transaction.remote = None
                 why = str(error)
@@ -155,7 +155,7 @@
             return None
         raise StatementRefusedError(RefusalKind.ROLLED_BACK, why, Cause.BOX_LOST)
 
-    async def _ask_transaction(
+    async def _send_in_transaction(
         self,
         gateway: Box,
         routed: RoutedStatement,
@@ -164,9 +164,9 @@
         begins: bool = False,
     ) -> Reply:
         assert transaction.remote is not None
-        commits = isinstance(routed.body, Commit)
+        is_commit = isinstance(routed.body, Commit)
         message = attrs.evolve(
-            self._message(routed),
+            self._build_message(routed),
             transaction=transaction.remote.identity,
             begins=begins,
             read_only=transaction.read_only,
@@ -175,7 +175,7 @@
         wrote_before = transaction.wrote
         transaction.wrote |= routed.writes
         try:
-            told = await self._ask(gateway, routed, message)
+            forwarded = await self._send(gateway, routed, message)
         except NotSentError as error:
             if begins:
                 transaction.wrote = wrote_before
@@ -184,13 +184,13 @@
                 RefusalKind.ROLLED_BACK, str(error), Cause.BOX_LOST
             ) from error
         except ExchangeError as error:
-            if commits and transaction.wrote:
-                raise self._unknown(routed, str(error)) from error
+            if is_commit and transaction.wrote:
+                raise self._outcome_unknown(routed, str(error)) from error
             raise StatementRefusedError(
                 RefusalKind.ROLLED_BACK, str(error), Cause.BOX_LOST
             ) from error
-        reply = told.reply
-        if begins and _is_for_another(told, routed):
+        reply = forwarded.reply
+        if begins and _may_try_another(forwarded, routed):
             transaction.wrote = wrote_before
             raise _NotBegunError(f"{gateway.name} may not use the primary now")
         match reply.state:
@@ -219,7 +219,7 @@
         if gateway is None:
             return
         try:
-            await self._links.send_end(gateway, remote.identity)
+            await self._client.send_end(gateway, remote.identity)
         except ExchangeError as error:
             # The home ends it by itself once it has rested for too long.
             self._state.log.event("end_not_told", other=gateway.name, why=str(error))
@@ -231,14 +231,14 @@
 
         Ends where this box is to run it itself.
         """
-        while len(tried) < GATEWAYS_TRIED:
+        while len(tried) < MAX_GATEWAYS_TRIED:
             gateway = self._gateways.choose(group, tried)
             if gateway is None:
                 return
             tried.add(gateway.name)
             yield gateway
 
-    def _message(self, routed: RoutedStatement) -> ForwardedStatement:
+    def _build_message(self, routed: RoutedStatement) -> ForwardedStatement:
         session = routed.session
         group = routed.route.group
         return ForwardedStatement(
@@ -253,30 +253,32 @@
             unsettled=group in session.unsettled,
         )
 
-    async def _ask(
+    async def _send(
         self, gateway: Box, routed: RoutedStatement, message: ForwardedStatement
     ) -> ForwardedReply:
-        """Return what the home told; raise as `GatewayClient.ask` does."""
-        told = await self._links.ask(gateway, message, routed.until + MARGIN_S)
-        self._take(routed, told, gateway)
-        return told
+        """Return what the home told; raise as `GatewayClient.forward` does."""
+        forwarded = await self._client.forward(gateway, message, routed.until + MARGIN_S)
+        self._apply_reply(routed, forwarded, gateway)
+        return forwarded
 
-    def _take(self, routed: RoutedStatement, told: ForwardedReply, gateway: Box) -> None:
+    def _apply_reply(
+        self, routed: RoutedStatement, forwarded: ForwardedReply, gateway: Box
+    ) -> None:
         group = routed.route.group
         session = routed.session
-        if told.unsettled:
+        if forwarded.unsettled:
             session.unsettled.add(group)
-        elif told.own_write is not None:
-            session.wrote(group, told.own_write)
-        self._state.told_usable[group] = told.primary_usable
-        if told.lacks_lease:
-            self._gateways.note_lacking(gateway.name)
+        elif forwarded.own_write is not None:
+            session.wrote(group, forwarded.own_write)
+        self._state.told_usable[group] = forwarded.primary_usable
+        if forwarded.lacks_lease:
+            self._gateways.record_lease_missing(gateway.name)
         else:
-            self._gateways.note_able(gateway.name)
-        self._state.metrics.forwarded[gateway.name, told.reply.outcome] += 1
+            self._gateways.record_lease_present(gateway.name)
+        self._state.metrics.forwarded[gateway.name, forwarded.reply.outcome] += 1
 
     @staticmethod
-    def _unknown(routed: RoutedStatement, why: str) -> StatementRefusedError:
+    def _outcome_unknown(routed: RoutedStatement, why: str) -> StatementRefusedError:
         routed.session.unsettled.add(routed.route.group)
         detail = f"{why}; it may have been committed"
         return StatementRefusedError(RefusalKind.OUTCOME_UNKNOWN, detail)
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -26,20 +26,20 @@
 CONNECT_TIMEOUT_S = 0.3
 """Time to connect to a home, in seconds: one lost packet is sent again after 0.2 s."""
 
-ANSWER_SLACK_S = 0.05
+REPLY_SLACK_S = 0.05
 """Time beyond a statement's time-out that a home's answer may take to get here, in seconds."""
 
-SILENT_S = 0.3
+UNRESPONSIVE_S = 0.3
 """Time for which a home may owe an answer before it is asked whether it lives, in seconds."""
 
-ALIVE_TIMEOUT_S = 0.25
+PROBE_TIMEOUT_S = 0.25
 """Time that it then has, in seconds: one lost packet is sent again after 0.2 s."""
 
-WATCH_S = 0.1
+WATCH_POLL_S = 0.1
 """Time between looks at homes that owe answers, in seconds."""
 
 
-REFUSED_UNREAD = (400, 404, 413)
+NOT_RUN_STATUSES = (400, 404, 413)
 """Answers to a question that was not understood: nothing of it was run."""
 
 
@@ -55,7 +55,7 @@
     ----------
     outstanding : dict
         Scope of every statement that it has not answered, with the sending time.
-    asked_at : float
+    probed_at : float
         When it was last asked whether it lives, in seconds.
     """
 
@@ -63,7 +63,7 @@
     pool: HttpPool
     outstanding: dict[trio.CancelScope, float] = attrs.field(factory=dict)
     last_contact_at: float = -math.inf
-    asked_at: float = -math.inf
+    probed_at: float = -math.inf
     lost: bool = False
 
 
@@ -84,9 +84,11 @@
         self._transport = transport
         self._nursery = nursery
         self._links: dict[str, _GatewayLink] = {}
-        self._answers_owed = trio.Event()
+        self._has_outstanding = trio.Event()
 
-    async def ask(self, gateway: Box, message: ForwardedStatement, until: float) -> ForwardedReply:
+    async def forward(
+        self, gateway: Box, message: ForwardedStatement, until: float
+    ) -> ForwardedReply:
         """Return the home's reply to a statement that times out at ``until`` (seconds).
 
         Raises
@@ -100,20 +102,24 @@
         body = statement_to_json(message)
         with self._outstanding(link, until) as scope:
             try:
-                answer = await link.pool.post("/peer/run", body)
+                response = await link.pool.post("/peer/run", body)
             except NotSentError:
-                self._lose(link, "it takes no connection")
+                self._mark_lost(link, "it takes no connection")
                 raise
         if scope.cancelled_caught:
             if link.lost:
                 raise GatewayLostError(f"{gateway.name}, which ran it, stopped answering")
             raise GatewayLostError(f"{gateway.name} did not answer in time")
         link.last_contact_at = trio.current_time()
-        if answer.status != 200:
-            detail = f"{gateway.name} could not run it: {answer.body[:80]!r}"
-            raise NotSentError(detail) if answer.status in REFUSED_UNREAD else ExchangeError(detail)
+        if response.status != 200:
+            detail = f"{gateway.name} could not run it: {response.body[:80]!r}"
+            raise (
+                NotSentError(detail)
+                if response.status in NOT_RUN_STATUSES
+                else ExchangeError(detail)
+            )
         try:
-            return reply_from_json(answer.json())
+            return reply_from_json(response.json())
         except BadRequestError as error:
             raise ExchangeError(str(error)) from error
 
@@ -139,9 +145,9 @@
     def _outstanding(self, link: _GatewayLink, until: float) -> Iterator[trio.CancelScope]:
         """Note that ``link`` owes an answer; cancelled when it is lost or time is out."""
         link.lost = False
-        with trio.CancelScope(deadline=until + ANSWER_SLACK_S) as scope:
+        with trio.CancelScope(deadline=until + REPLY_SLACK_S) as scope:
             link.outstanding[scope] = trio.current_time()
-            self._answers_owed.set()
+            self._has_outstanding.set()
             try:
                 yield scope
             finally:
@@ -150,23 +156,23 @@
     async def watch_for_ever(self) -> None:
         """Find homes that owe answers and do not live; what they owe is given up at once."""
         while True:
-            await self._answers_owed.wait()
-            await trio.sleep(WATCH_S)
+            await self._has_outstanding.wait()
+            await trio.sleep(WATCH_POLL_S)
             now = trio.current_time()
             for link in list(self._links.values()):
                 oldest = min(link.outstanding.values(), default=now)
-                since = max(oldest, link.last_contact_at, link.asked_at)
-                if now - since > SILENT_S:
-                    link.asked_at = now
-                    self._nursery.start_soon(self._ask_alive, link)
+                since = max(oldest, link.last_contact_at, link.probed_at)
+                if now - since > UNRESPONSIVE_S:
+                    link.probed_at = now
+                    self._nursery.start_soon(self._probe, link)
             if not any(link.outstanding for link in self._links.values()):
-                self._answers_owed = trio.Event()
+                self._has_outstanding = trio.Event()
 
-    async def _ask_alive(self, link: _GatewayLink) -> None:
-        if not await self._directory.is_alive(link.box, ALIVE_TIMEOUT_S):
-            self._lose(link, "it owes answers and does not say that it lives")
+    async def _probe(self, link: _GatewayLink) -> None:
+        if not await self._directory.is_alive(link.box, PROBE_TIMEOUT_S):
+            self._mark_lost(link, "it owes answers and does not say that it lives")
 
-    def _lose(self, link: _GatewayLink, why: str) -> None:
+    def _mark_lost(self, link: _GatewayLink, why: str) -> None:
         self._gateways.avoid(link.box.name)
         self._state.log.event("home_lost", other=link.box.name, owed=len(link.outstanding), why=why)
         link.lost = True
--- a/wharftiller/daemons/sessions/forwarding/gateways.py
+++ b/wharftiller/daemons/sessions/forwarding/gateways.py
@@ -26,7 +26,7 @@
 """Boxes after the homes of a group in each data centre that keep leases in an outage as well."""
 
 
-LACKING_S = 1.0
+LEASE_MISSING_S = 1.0
 """Time for which a home that may not use a primary is passed over for others, in seconds.
 
 A box that starts while the platform is away has no lease until that is back, for 6 s and more;
@@ -70,13 +70,13 @@
     def __init__(self, state: SharedState, directory: BoxDirectory) -> None:
         self._state = state
         self._directory = directory
-        self._avoided_until: dict[str, float] = {}
-        self._lacking_until: dict[str, float] = {}
-        self._known: dict[str, _GroupGateways] = {}
-        self._known_everywhere: dict[str, list[str]] = {}
-        self._known_list = directory.list
-        self._known_configuration = state.configuration
-        self._known_until = math.inf
+        self._skipped_until: dict[str, float] = {}
+        self._lease_missing_until: dict[str, float] = {}
+        self._cached: dict[str, _GroupGateways] = {}
+        self._cached_all: dict[str, list[str]] = {}
+        self._cached_list = directory.list
+        self._cached_configuration = state.configuration
+        self._cached_until = math.inf
         state.endpoints.share_of_group = self.share
         state.serves_group = self.serves
 
@@ -98,14 +98,14 @@
         plan = self.plan(group)
         if plan.gateways is None:
             return None
-        known = self._known_everywhere.get(group)
-        if known is None:
+        cached = self._cached_all.get(group)
+        if cached is None:
             live = self._directory.list.live
-            known = [
+            cached = [
                 gateway for names in live.values() for gateway in gateways_of(group, names, plan)
             ]
-            self._known_everywhere[group] = known
-        return known
+            self._cached_all[group] = cached
+        return cached
 
     def others_of(self, groups: Iterable[str]) -> list[Box] | None:
         """Return the other boxes that are homes of ``groups``; None if every box is one."""
@@ -127,84 +127,86 @@
         """Return the home to pass a statement to; None if this box is the one."""
         gateways = self._gateways(group)
         if tried:
-            gateways = self._work_out(group, tried)
+            gateways = self._compute(group, tried)
         chosen = gateways.chosen
-        if self._lacking_until or gateways.is_gateway:
-            chosen = self._with_lease(group, gateways, tried)
+        if self._lease_missing_until or gateways.is_gateway:
+            chosen = self._choose_with_lease(group, gateways, tried)
         return None if chosen is None else self._directory.boxes[chosen]
 
-    def _with_lease(
+    def _choose_with_lease(
         self, group: str, gateways: _GroupGateways, tried: Collection[str]
     ) -> str | None:
         """Return the home to pass a statement to, one that is not known to lack a lease if any."""
-        own = self._state.box
+        own_name = self._state.box
         if gateways.is_gateway and (
             gateways.plan.gateways is None or not self._state.lacks_lease(group)
         ):
             return gateways.chosen
         now = trio.current_time()
-        self._lacking_until = {n: until for n, until in self._lacking_until.items() if until > now}
-        passed_over = {own, *self._lacking_until, *tried}
-        able = [n for n in (*gateways.near, *gateways.spares) if n not in passed_over]
-        return ranked(own + group, able)[0] if able else gateways.chosen
-
-    def note_lacking(self, name: str) -> None:
+        self._lease_missing_until = {
+            n: until for n, until in self._lease_missing_until.items() if until > now
+        }
+        skipped = {own_name, *self._lease_missing_until, *tried}
+        candidates = [n for n in (*gateways.near, *gateways.spares) if n not in skipped]
+        return ranked(own_name + group, candidates)[0] if candidates else gateways.chosen
+
+    def record_lease_missing(self, name: str) -> None:
         """Note that a home may not use a primary that others may."""
-        self._lacking_until[name] = trio.current_time() + LACKING_S
+        self._lease_missing_until[name] = trio.current_time() + LEASE_MISSING_S
 
-    def note_able(self, name: str) -> None:
+    def record_lease_present(self, name: str) -> None:
         """Note that a home may use its primary."""
-        self._lacking_until.pop(name, None)
+        self._lease_missing_until.pop(name, None)
 
     def avoid(self, name: str, for_s: float = AVOIDED_S) -> None:
         """Pass over a box for a while: it did not answer, or it is stopping."""
-        self._avoided_until[name] = trio.current_time() + for_s
-        self._known_until = -math.inf
+        self._skipped_until[name] = trio.current_time() + for_s
+        self._cached_until = -math.inf
 
     def _gateways(self, group: str) -> _GroupGateways:
-        self._forget_outdated()
-        known = self._known.get(group)
-        if known is None:
-            known = self._known[group] = self._work_out(group, ())
-        return known
+        self._drop_outdated_cache()
+        cached = self._cached.get(group)
+        if cached is None:
+            cached = self._cached[group] = self._compute(group, ())
+        return cached
 
-    def _forget_outdated(self) -> None:
+    def _drop_outdated_cache(self) -> None:
         """Forget what was worked out from another list, configuration or choice."""
         now = trio.current_time()
         if (
-            self._known_list is self._directory.list
-            and self._known_configuration is self._state.configuration
-            and now < self._known_until
+            self._cached_list is self._directory.list
+            and self._cached_configuration is self._state.configuration
+            and now < self._cached_until
         ):
             return
-        self._known.clear()
-        self._known_everywhere.clear()
-        self._known_list = self._directory.list
-        self._known_configuration = self._state.configuration
-        self._avoided_until = {n: end for n, end in self._avoided_until.items() if end > now}
-        self._known_until = min(self._avoided_until.values(), default=math.inf)
-
-    def _work_out(self, group: str, tried: Collection[str]) -> _GroupGateways:
+        self._cached.clear()
+        self._cached_all.clear()
+        self._cached_list = self._directory.list
+        self._cached_configuration = self._state.configuration
+        self._skipped_until = {n: end for n, end in self._skipped_until.items() if end > now}
+        self._cached_until = min(self._skipped_until.values(), default=math.inf)
+
+    def _compute(self, group: str, tried: Collection[str]) -> _GroupGateways:
         plan = self._plan(group)
-        own = self._state.box
+        own_name = self._state.box
         order = ranked(group, self._near(tried))
         near = tuple(plan.among(order))
         spares = tuple(order[len(near) : len(near) + SPARE_GATEWAYS])
-        if plan.gateways is None or own in near:
+        if plan.gateways is None or own_name in near:
             return _GroupGateways(plan, near, spares, True, None)
         # Boxes spread over the homes; each keeps to one while it answers.
         return _GroupGateways(
-            plan, near, spares, False, ranked(own + group, near)[0], own in spares
+            plan, near, spares, False, ranked(own_name + group, near)[0], own_name in spares
         )
 
     def _plan(self, group: str) -> GatewayPlan:
         limits = self._state.configuration.groups.get(group)
-        most = limits.max_connections if limits is not None else 1
+        max_connections = limits.max_connections if limits is not None else 1
         boxes = self._directory.list
-        return plan_gateways(most, len(boxes.others) + 1, len(boxes.data_centres))
+        return plan_gateways(max_connections, len(boxes.others) + 1, len(boxes.data_centres))
 
     def _near(self, tried: Collection[str]) -> list[str]:
         """Return the boxes of this data centre that may be homes, this one among them."""
-        passed_over = self._avoided_until.keys() | set(tried)
-        own = self._state.box
-        return [n for n in self._directory.list.near if n == own or n not in passed_over]
+        skipped = self._skipped_until.keys() | set(tried)
+        own_name = self._state.box
+        return [n for n in self._directory.list.near if n == own_name or n not in skipped]
--- a/wharftiller/tests/daemons/sessions/connections/test_pool.py
+++ b/wharftiller/tests/daemons/sessions/connections/test_pool.py
@@ -89,24 +89,24 @@
     return EndpointPool(EndpointRow(entry), dialer, lambda: share)
 
 
-def run(story: Callable[[], Awaitable[None]]) -> None:
-    trio.run(story, clock=trio.testing.MockClock(autojump_threshold=0))
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
+    trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 async def acquire(
     pool: EndpointPool,
-    patience_s: float = GOAL_S,
+    timeout_s: float = GOAL_S,
     *,
     priority: int = 1,
     of: Session | None = None,
 ) -> PooledConnection:
-    """Acquire a connection for a session, waiting for ``patience_s`` seconds at most."""
+    """Acquire a connection for a session, waiting for ``timeout_s`` seconds at most."""
     now = trio.current_time()
-    limit = WaitLimit(now + patience_s, now + patience_s)
+    limit = WaitLimit(now + timeout_s, now + timeout_s)
     return await pool.acquire(of or session(), priority, now, limit)
 
 
-async def freed_after(dialer: FakeDialer, seconds: float) -> None:
+async def free_after(dialer: FakeDialer, seconds: float) -> None:
     await trio.sleep(seconds)
     dialer.free += 1
 
@@ -115,38 +115,38 @@
     """An endpoint still holds the connections of boxes that lost power."""
 
     def test_a_statement_gets_the_place_that_comes_free_within_its_goal(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=0)
             pool = make_pool(dialer)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(freed_after, dialer, 0.15)
+                nursery.start_soon(free_after, dialer, 0.15)
                 connection = await acquire(pool)
             assert isinstance(connection, PooledConnection)
             assert trio.current_time() < GOAL_S
 
-        run(story)
+        run(scenario)
 
     def test_one_that_cannot_be_served_in_time_is_refused_at_once(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             pool = make_pool(FakeDialer(free=0))
-            patience_s = REFUSED_PAUSE_S / 2
+            timeout_s = REFUSED_PAUSE_S / 2
             with pytest.raises(EndpointRefusedError):
-                await acquire(pool, patience_s)
-            assert trio.current_time() < patience_s
+                await acquire(pool, timeout_s)
+            assert trio.current_time() < timeout_s
 
-        run(story)
+        run(scenario)
 
     def test_no_statement_waits_beyond_its_goal(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             pool = make_pool(FakeDialer(free=0))
             with pytest.raises(EndpointRefusedError):
                 await acquire(pool)
             assert trio.current_time() <= GOAL_S + 0.001
 
-        run(story)
+        run(scenario)
 
     def test_those_who_wait_ask_the_endpoint_once_a_pause_not_once_each(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=0)
             pool = make_pool(dialer)
 
@@ -160,10 +160,10 @@
             first_together = 3
             assert dialer.asked <= first_together + GOAL_S / REFUSED_PAUSE_S
 
-        run(story)
+        run(scenario)
 
     def test_the_more_urgent_goes_first(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=0)
             pool = make_pool(dialer)
             served: list[int] = []
@@ -176,27 +176,27 @@
             async with trio.open_nursery() as nursery:
                 for priority in (5, 3, 1):
                     nursery.start_soon(ask, priority)
-                nursery.start_soon(freed_after, dialer, 0.5)
+                nursery.start_soon(free_after, dialer, 0.5)
             assert served == [1, 3, 5]
 
-        run(story)
+        run(scenario)
 
     def test_a_place_that_comes_free_serves_beside_a_transaction_that_rests(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=1)
             pool = make_pool(dialer)
             await acquire(pool)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(freed_after, dialer, 0.15)
+                nursery.start_soon(free_after, dialer, 0.15)
                 await acquire(pool)
             assert pool.total == 2
 
-        run(story)
+        run(scenario)
 
 
-class TestKept:
+class TestIdleConnections:
     def test_connections_beyond_the_share_go_once_they_are_not_needed(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=16)
             pool = make_pool(dialer)
             taken = [await acquire(pool) for _ in range(3)]
@@ -210,10 +210,10 @@
             assert pool.total == 1
             assert dialer.free == 15
 
-        run(story)
+        run(scenario)
 
 
-class TestTakenOn:
+class TestSessionSetup:
     """What is set on a connection before a caller's statement."""
 
     SHAPE = PreparedStatement(Access.READ, "q1")
@@ -226,7 +226,7 @@
         return connection, link
 
     def test_all_of_it_goes_in_one_write(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             connection, link = await self.connection()
             connection.values["zone"] = "north"
             caller = session()
@@ -239,20 +239,20 @@
             await connection.take_on(caller, self.SHAPE)
             assert len(link.writes) == 1
 
-        run(story)
+        run(scenario)
 
     def test_a_transaction_opens_in_the_same_write(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             connection, link = await self.connection()
             caller = session()
             caller.values["lang"] = "hu"
             await connection.begin(caller, EndpointQuery(Begin(read_only=True)))
             assert link.writes == [[SetValue("lang", "hu"), Begin(read_only=True)]]
 
-        run(story)
+        run(scenario)
 
     def test_a_connection_that_refused_a_value_is_not_used_again(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             connection, link = await self.connection()
             link.refuses = True
             caller = session()
@@ -262,10 +262,10 @@
             assert connection.broken
             assert connection.values == {}
 
-        run(story)
+        run(scenario)
 
     def test_what_is_set_says_nothing_of_how_long_work_takes(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             connection, _ = await self.connection()
             before = connection.pool.row.service_s
             caller = session()
@@ -273,7 +273,7 @@
             await connection.take_on(caller, self.SHAPE)
             assert connection.pool.row.service_s == before
 
-        run(story)
+        run(scenario)
 
 
 class TestWorkspaces:
@@ -284,7 +284,7 @@
         return Session(1, "seats-db", "", Workspace(name))
 
     def test_nobody_gets_anothers_connection(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=16)
             pool = make_pool(dialer, share=4)
             for name in ("rila", "vitosha", "rila"):
@@ -294,10 +294,10 @@
             assert pool.total == 2
             assert dialer.asked == 2
 
-        run(story)
+        run(scenario)
 
     def test_where_no_more_may_be_open_the_one_idle_longest_makes_room(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=16)
             pool = make_pool(dialer)
             for name in ("rila", "vitosha", "pirin"):
@@ -310,10 +310,10 @@
             (await acquire(pool, of=self.of("vitosha"))).release()
             assert dialer.asked == asked
 
-        run(story)
+        run(scenario)
 
     def test_a_full_endpoint_that_holds_idle_ones_of_ours_is_no_reason_to_wait(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=1)
             pool = make_pool(dialer)
             (await acquire(pool, of=self.of("rila"))).release()
@@ -322,20 +322,20 @@
             assert connection.workspace == "vitosha"
             assert trio.current_time() - started < REFUSED_PAUSE_S
 
-        run(story)
+        run(scenario)
 
     def test_this_boxs_own_statements_run_on_anybodys(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             dialer = FakeDialer(free=16)
             pool = make_pool(dialer)
             (await acquire(pool, of=self.of("rila"))).release()
             (await pool.acquire_for_box(0, GOAL_S)).release()
             assert dialer.asked == 1
 
-        run(story)
+        run(scenario)
 
     def test_a_workspace_that_waits_gets_the_place_that_another_gives_back(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             pool = make_pool(FakeDialer(free=3))
             taken = [await acquire(pool, of=self.of("rila")) for _ in range(3)]
             got: list[str] = []
@@ -350,4 +350,4 @@
                 taken[0].release()
             assert got == ["vitosha"]
 
-        run(story)
+        run(scenario)
--- a/wharftiller/tests/platform/test_connection_admission.py
+++ b/wharftiller/tests/platform/test_connection_admission.py
@@ -10,13 +10,13 @@
 from wharftiller.run_losses import losses_of
 from wharftiller.tests.platform.world import BoxProcess, Caller, World, run_in_world
 
-LITTLE = BoxLimits(descriptors=160)
+SMALL_LIMITS = BoxLimits(descriptors=160)
 """Room for some sixty callers."""
 
 
 async def fill(world: World, box: BoxProcess) -> list[Caller]:
     """Open sessions until one is refused."""
-    open_: list[Caller] = []
+    callers: list[Caller] = []
     while True:
         caller, line = await world.knock(box, "primary")
         if line != "READY I -":
@@ -24,8 +24,8 @@
             assert line.startswith("ERROR OVERLOAD")
             assert "come back in 50 ms" in line
             assert await caller.line() is None
-            return open_
-        open_.append(caller)
+            return callers
+        callers.append(caller)
 
 
 async def is_ready(world: World, box: BoxProcess) -> bool:
@@ -34,57 +34,57 @@
     return b" 200 " in await stream.receive_some()
 
 
-class TestDoor:
+class TestConnectionAdmission:
     def test_a_full_box_refuses_at_once_and_takes_callers_again(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             assert await is_ready(world, box)
-            open_ = await fill(world, box)
-            assert 20 <= len(open_) <= LITTLE.connections
+            callers = await fill(world, box)
+            assert 20 <= len(callers) <= SMALL_LIMITS.connections
             assert not await is_ready(world, box)
-            for caller in open_[: len(open_) // 2]:
+            for caller in callers[: len(callers) // 2]:
                 caller.close()
             await trio.sleep(0.1)
             assert await is_ready(world, box)
             caller = await world.call(box, "primary")
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
 
-        run_in_world(story, boxes=1, limits=LITTLE)
+        run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
     def test_who_rests_longest_leaves_for_a_newcomer(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            open_ = await fill(world, box)
+            callers = await fill(world, box)
             await trio.sleep(MIN_IDLE_S)
-            assert (await open_[0].ask("READ seat1"))[-1].startswith("READY I")
+            assert (await callers[0].ask("READ seat1"))[-1].startswith("READY I")
             newcomer = await world.call(box, "primary")
             assert (await newcomer.ask("WRITE seat1 anna"))[0] == "ROW written"
-            assert await open_[1].line() is None
-            assert (await open_[0].ask("READ seat1"))[0] == "ROW anna"
+            assert await callers[1].line() is None
+            assert (await callers[0].ask("READ seat1"))[0] == "ROW anna"
 
-        run_in_world(story, boxes=1, limits=LITTLE)
+        run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
     def test_nobody_in_a_transaction_leaves_for_a_newcomer(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             booking = await world.call(box, "primary")
             await booking.ask("BEGIN")
             await booking.ask("WRITE seat1 anna")
-            open_ = await fill(world, box)
+            callers = await fill(world, box)
             await trio.sleep(MIN_IDLE_S)
-            for _ in open_:
+            for _ in callers:
                 await world.call(box, "primary")
             assert (await booking.ask("COMMIT"))[0].startswith("COMPLETE")
 
-        run_in_world(story, boxes=1, limits=LITTLE)
+        run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
     def test_connections_that_say_nothing_leave_first(self) -> None:
         """Those that rest keep their sessions."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             served = [await world.call(box, "primary") for _ in range(5)]
-            for _ in range(LITTLE.connections):
+            for _ in range(SMALL_LIMITS.connections):
                 await world.network.host("10.8.0.2").connect(f"{box.ip}:1")
             await trio.sleep(max(MIN_HANDSHAKE_S, MIN_IDLE_S))
             for _ in range(10):
@@ -92,13 +92,13 @@
             for caller in served:
                 assert (await caller.ask("READ seat1"))[-1].startswith("READY I")
 
-        run_in_world(story, boxes=1, limits=LITTLE)
+        run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
     def test_a_crowd_refused_is_told_in_few_lines_and_counted(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            open_ = await fill(world, box)
-            assert open_
+            callers = await fill(world, box)
+            assert callers
             for _ in range(300):
                 _, line = await world.knock(box, "primary")
                 assert line is not None
@@ -111,12 +111,12 @@
             refused = [loss for loss in losses_of(events, 0.0) if loss.cause == "door"]
             assert sum(loss.refused for loss in refused) == 301
 
-        run_in_world(story, boxes=1, limits=LITTLE)
+        run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
     @pytest.mark.parametrize("descriptors", [700, 1_640, 4_300])
     def test_a_box_takes_hundreds_whatever_its_limit(self, descriptors: int) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             for _ in range(250):
                 await world.call(world.boxes["box-1"], "primary")
 
-        run_in_world(story, boxes=1, limits=BoxLimits(descriptors, 200))
+        run_in_world(scenario, boxes=1, limits=BoxLimits(descriptors, 200))
--- a/wharftiller/tests/platform/test_gateways.py
+++ b/wharftiller/tests/platform/test_gateways.py
@@ -16,15 +16,15 @@
 SCARCE = 10
 
 
-def run_scarce(story: Callable[[World], Awaitable[None]], **changes: Any) -> None:
-    """Run ``story`` where endpoints take fewer connections than two a box."""
+def run_scarce(scenario: Callable[[World], Awaitable[None]], **changes: Any) -> None:
+    """Run ``scenario`` where endpoints take fewer connections than two a box."""
 
-    async def settled(world: World) -> None:
+    async def run_settled(world: World) -> None:
         # Every box has read the list of all boxes again.
         await trio.sleep(SHARED_READ_S)
-        await story(world)
+        await scenario(world)
 
-    run_in_world(settled, boxes=BOXES, groups=[make_group(max_connections=SCARCE, **changes)])
+    run_in_world(run_settled, boxes=BOXES, groups=[make_group(max_connections=SCARCE, **changes)])
 
 
 def gateway_of(world: World, centre: str) -> BoxProcess:
@@ -45,17 +45,17 @@
     ]
 
 
-class TestHomes:
+class TestGateways:
     def test_every_box_serves_within_the_endpoints_limit(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             callers = [await world.call(box, "primary") for box in world.boxes.values()]
 
             async def work(caller: Caller, number: int) -> None:
-                for turn in range(5):
-                    answer = await caller.ask(f"WRITE seat{number} guest{turn}")
+                for step in range(5):
+                    answer = await caller.ask(f"WRITE seat{number} guest{step}")
                     assert answer[0] == "ROW written", answer
-                    assert (await caller.ask(f"READ seat{number}"))[0] == f"ROW guest{turn}"
+                    assert (await caller.ask(f"READ seat{number}"))[0] == f"ROW guest{step}"
 
             async with trio.open_nursery() as nursery:
                 for number, caller in enumerate(callers):
@@ -63,20 +63,20 @@
             assert group.primary.connections <= SCARCE
             assert group.primary.opened <= SCARCE
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     def test_an_answer_passed_on_is_the_endpoints_own(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(others_in(world, "a")[0], "read_own_writes")
             written = await caller.ask("WRITE seat7 anna", "id-1")
             primary = world.groups[0].primary
             assert written[1] == f"COMPLETE {proof(primary, 'id-1', 'WRITE seat7 anna')}"
             assert (await caller.ask("READ seat7"))[0] == "ROW anna"
 
-        run_scarce(story, lag_s=0.3)
+        run_scarce(scenario, lag_s=0.3)
 
     def test_values_and_prepared_names_go_with_the_statement(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box, other = others_in(world, "a")
             one, two = await world.call(box, "primary"), await world.call(other, "primary")
             await one.ask("SET colour red")
@@ -87,10 +87,10 @@
                 assert (await two.ask(f"EXECUTE s seat{number} x"))[0] == "ROW written"
                 assert "colour" not in (await two.ask("READ seat1"))[0]
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     def test_a_transaction_runs_whole_on_one_connection(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(others_in(world, "b")[0], "primary")
             await caller.ask("BEGIN")
             assert (await caller.ask("WRITE seat1 anna"))[-1].startswith("READY T")
@@ -102,31 +102,31 @@
             assert (await caller.ask("ROLLBACK"))[-1].startswith("READY I")
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     @pytest.mark.parametrize("leaves", ["by closing", "with its box"])
     def test_a_transaction_whose_caller_is_gone_is_rolled_back(self, leaves: str) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = others_in(world, "b")[0]
             gateway = gateway_of(world, "b")
             caller = await world.call(box, "primary")
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
-            held = gateway.process.proxy._for_others  # type: ignore[union-attr]
-            assert held.count == 1
+            executor = gateway.process.proxy._for_others  # type: ignore[union-attr]
+            assert executor.count == 1
             if leaves == "by closing":
                 caller.close()
                 await trio.sleep(0.5)
             else:
                 await world.kill_box(box)
                 await trio.sleep(5.0)
-            assert held.count == 0
+            assert executor.count == 0
             assert world.groups[0].primary.log == []
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     def test_when_a_home_is_killed_another_serves(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
             caller = await world.call(box, "primary")
             await caller.ask("WRITE seat1 anna")
@@ -136,10 +136,10 @@
                     await trio.sleep(0.05)
             assert (await caller.ask("READ seat1"))[0] == "ROW boris"
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     def test_a_box_runs_statements_itself_when_all_homes_beside_it_are_lost(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box, other = others_in(world, "a")
             caller = await world.call(box, "primary")
             await caller.ask("WRITE seat1 anna")
@@ -148,10 +148,10 @@
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
             assert (await caller.ask("WRITE seat1 boris"))[0] == "ROW written"
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     def test_a_write_is_unknown_when_its_home_goes_dark_under_it(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             world.groups[0].work_s = 0.3
             box = others_in(world, "a")[0]
             caller = await world.call(box, "primary")
@@ -166,10 +166,10 @@
             # Its own writes may be there: from now on it reads from the primary.
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     def test_a_read_goes_to_another_home_when_its_home_goes_dark(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
             caller = await world.call(box, "bounded_staleness")
             await caller.ask("READ seat1")
@@ -177,10 +177,10 @@
             world.network.cut([gateway.ip], [each.ip for each in world.boxes.values()])
             assert (await caller.ask("READ seat1"))[0] == "ROW none"
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     def test_a_planned_stop_of_a_home_cuts_no_statement(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
             callers = [await world.call(box, "primary") for _ in range(4)]
             gateway = gateway_of(world, "a")
@@ -200,10 +200,10 @@
                 gateway.told.set()
             assert refused == []
 
-        run_scarce(story)
+        run_scarce(scenario)
 
     def test_a_dark_primary_is_replaced_by_its_homes(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(others_in(world, "c")[0], "primary")
             await caller.ask("WRITE seat1 anna")
@@ -214,4 +214,4 @@
                     await trio.sleep(0.1)
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_scarce(story)
+        run_scarce(scenario)
--- a/wharftiller/tests/platform/test_load_peaks.py
+++ b/wharftiller/tests/platform/test_load_peaks.py
@@ -24,19 +24,19 @@
 """Latency goal of every route of the world, in seconds."""
 
 PEAK_S = 8.0
-MOST_TRIES = 3
+MAX_TRIES = 3
 """A caller's first try and two more."""
 
 
 URGENT, ORDINARY = "primary", "read_own_writes"
 """Kinds of route: the first goes before the second."""
 
-CAN_RUN = SLOTS / WORK_S * PEAK_S
+PRIMARY_CAPACITY = SLOTS / WORK_S * PEAK_S
 """Statements that the primary can run while the crest lasts."""
 
 
 @attrs.define
-class Crest:
+class LoadPeak:
     """Callers that come at random and come back when told, twice at most.
 
     Attributes
@@ -49,7 +49,7 @@
     outcomes: dict[str, collections.Counter[str]] = attrs.field(
         factory=lambda: collections.defaultdict(collections.Counter)
     )
-    draw: random.Random = attrs.field(factory=lambda: random.Random(7))
+    rng: random.Random = attrs.field(factory=lambda: random.Random(7))
 
     async def run(self, kind: str, load: float) -> None:
         """Have callers come for ``load`` times what the primary can run; return at their end."""
@@ -57,28 +57,28 @@
         async with trio.open_nursery() as nursery:
             until = trio.current_time() + PEAK_S
             while trio.current_time() < until:
-                nursery.start_soon(self._come, kind, self.draw.choice(boxes))
-                await trio.sleep(self.draw.expovariate(load * SLOTS / WORK_S))
+                nursery.start_soon(self._run_caller, kind, self.rng.choice(boxes))
+                await trio.sleep(self.rng.expovariate(load * SLOTS / WORK_S))
 
-    async def _come(self, kind: str, box: BoxProcess) -> None:
+    async def _run_caller(self, kind: str, box: BoxProcess) -> None:
         caller = await self.world.call(box, kind)
-        came_at = trio.current_time()
-        for _ in range(MOST_TRIES):
+        started_at = trio.current_time()
+        for _ in range(MAX_TRIES):
             answer = (await caller.ask("READ seat1"))[0]
-            took_s = trio.current_time() - came_at
+            took_s = trio.current_time() - started_at
             if answer.startswith("ROW"):
                 self.outcomes[kind]["in goal" if took_s <= GOAL_S else "late"] += 1
                 return
-            told_ms = float(answer.rpartition("come back in ")[2].split()[0])
-            await trio.sleep(told_ms / 1000)
+            retry_after_ms = float(answer.rpartition("come back in ")[2].split()[0])
+            await trio.sleep(retry_after_ms / 1000)
         self.outcomes[kind]["refused"] += 1
 
 
-def play(**loads: float) -> dict[str, collections.Counter[str]]:
+def run_peaks(**loads: float) -> dict[str, collections.Counter[str]]:
     """Return what came of callers that ask for these parts of what the primary can run."""
     outcomes: dict[str, collections.Counter[str]] = {}
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         routes = configuration(2, world.groups)["Routes"]
         for route in routes:
             route["Priority"] = 0 if route["Kind"] == URGENT else 1
@@ -88,37 +88,37 @@
         writer = await world.call(world.boxes["box-1"], URGENT)
         await writer.ask("WRITE seat1 anna")
         await trio.sleep(SHARED_READ_S + 3.0)
-        crest = Crest(world)
+        peak = LoadPeak(world)
         async with trio.open_nursery() as nursery:
             for kind, load in loads.items():
-                nursery.start_soon(crest.run, kind, load)
-        outcomes.update(crest.outcomes)
+                nursery.start_soon(peak.run, kind, load)
+        outcomes.update(peak.outcomes)
 
     group = make_group(slots=SLOTS, work_s=WORK_S, queue=0, max_connections=20)
-    run_in_world(story, boxes=BOXES, groups=[group])
+    run_in_world(scenario, boxes=BOXES, groups=[group])
     return outcomes
 
 
-class TestCrest:
+class TestLoadPeaks:
     def test_what_fits_is_in_goal(self) -> None:
         """Of 1,637 callers 879 in goal -> 1,629."""
-        outcomes = play(read_own_writes=0.8)[ORDINARY]
+        outcomes = run_peaks(read_own_writes=0.8)[ORDINARY]
         assert outcomes["in goal"] >= 0.98 * outcomes.total()
 
     def test_beyond_it_half_of_what_can_be_run_is_in_goal(self) -> None:
         """Of 2,640 callers 1,157 in goal -> 1,314, 960 refused -> 306."""
-        outcomes = play(read_own_writes=1.3)[ORDINARY]
-        assert outcomes["in goal"] >= 0.5 * CAN_RUN
+        outcomes = run_peaks(read_own_writes=1.3)[ORDINARY]
+        assert outcomes["in goal"] >= 0.5 * PRIMARY_CAPACITY
 
     def test_a_crest_of_others_leaves_the_urgent_served(self) -> None:
         """Of the others 494 to 533 of 2,000 in goal -> 818 to 832; of the urgent all -> 0.96."""
-        outcomes = play(primary=0.25, read_own_writes=1.2)
+        outcomes = run_peaks(primary=0.25, read_own_writes=1.2)
         assert outcomes[URGENT]["refused"] <= 0.03 * outcomes[URGENT].total()
         assert outcomes[URGENT]["in goal"] >= 0.9 * outcomes[URGENT].total()
-        assert outcomes[ORDINARY]["in goal"] >= 0.25 * CAN_RUN
+        assert outcomes[ORDINARY]["in goal"] >= 0.25 * PRIMARY_CAPACITY
 
     def test_a_crest_of_the_urgent_does_not_starve_the_others(self) -> None:
         """Of the urgent 787 of 1,616 in goal -> 1,462 to 1,509 of 1,650."""
-        outcomes = play(primary=0.8, read_own_writes=0.4)
+        outcomes = run_peaks(primary=0.8, read_own_writes=0.4)
         assert outcomes[URGENT]["refused"] <= 0.03 * outcomes[URGENT].total()
         assert outcomes[ORDINARY]["refused"] <= 0.75 * outcomes[ORDINARY].total()
--- a/wharftiller/tests/platform/test_reads.py
+++ b/wharftiller/tests/platform/test_reads.py
@@ -9,7 +9,7 @@
 
 class TestReads:
     def test_bounded_reads_go_to_replicas(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             writer = await world.call(world.boxes["box-1"], "primary")
             reader = await world.call(world.boxes["box-1"], "bounded_staleness")
             await writer.ask("WRITE seat1 anna")
@@ -20,10 +20,10 @@
                 await trio.sleep(0.02)
             assert len(world.groups[0].primary.started) - before <= 2
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_deaf_replica_never_answers_too_old_a_read(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             for replica in group.servers[1:]:
                 replica.deaf = True
@@ -33,37 +33,37 @@
             await trio.sleep(1.6)
             assert (await reader.ask("READ seat1"))[0] == "ROW anna"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_session_sees_its_own_write_at_once(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-3"], "read_own_writes")
             for number in range(10):
                 await caller.ask(f"WRITE seat1 guest{number}")
                 assert (await caller.ask("READ seat1"))[0] == f"ROW guest{number}"
 
-        run_in_world(story, groups=[make_group(lag_s=0.2)])
+        run_in_world(scenario, groups=[make_group(lag_s=0.2)])
 
     def test_a_slow_read_is_left_to_end_where_no_other_endpoint_can_run_it(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
-            desk = await world.call(world.boxes["box-1"], "primary")
+            writer = await world.call(world.boxes["box-1"], "primary")
             reader = await world.call(world.boxes["box-1"], "bounded_staleness")
             group.servers[1].leaving = True
             world.register(group.servers[1])
-            await desk.ask("READ seat1")
+            await writer.ask("READ seat1")
             await trio.sleep(0.1)
             world.kill_server(group.primary)
             group.work_s = 0.5
-            await desk.send(b"QUERY id-1 READ seat1\r\n")
+            await writer.send(b"QUERY id-1 READ seat1\r\n")
             await trio.sleep(0.5)
             assert (await reader.ask("READ seat1", "id-2"))[0] == "ROW none"
             assert group.servers[2].started.count("id-2") == 1
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_slow_read_is_given_up_for_another_endpoint(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             reader = await world.call(world.boxes["box-1"], "bounded_staleness")
             for _ in range(3):
@@ -75,10 +75,10 @@
             assert (await reader.ask("READ seat1"))[0] == "ROW none"
             assert trio.current_time() - started < 0.5
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_read_only_transaction_runs_on_one_replica(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "bounded_staleness")
             await (await world.call(world.boxes["box-1"], "primary")).ask("READ seat1")
             await caller.ask("BEGIN READ")
@@ -88,4 +88,4 @@
             assert len(servers) == 1
             assert (await caller.ask("COMMIT"))[-1].startswith("READY I ")
 
-        run_in_world(story)
+        run_in_world(scenario)
