--- a/wharftiller/daemons/sessions/connections/__init__.py
+++ b/wharftiller/daemons/sessions/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints, and what is known of endpoints through them."""
+"""Connection pools, endpoint probes and relayed connections."""
--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one endpoint: shared by sessions, limited, opened when missed."""
+"""Connection pool of one endpoint, shared by all sessions of this box."""
 
 from __future__ import annotations
 
@@ -24,28 +24,27 @@
     from wharftiller.daemons.sessions.interfaces import EndpointConnection, EndpointDialer
 
 OPEN_TIMEOUT_S = 0.7
-"""Time to open a connection, in seconds: a lost first packet is sent again after more."""
+"""Time-out for opening a connection, in seconds; shorter than the first retransmission."""
 
 REFUSED_PAUSE_S = 0.1
-"""Time without new connections after an endpoint said that it has too many, in seconds.
+"""Pause before opening connections after an endpoint reported too many, in seconds.
 
-Below the latency goals of urgent routes (0.12 s), so that a statement that waits sees a
-second try. An endpoint answers such a try without running anything.
+Below the latency goals of urgent routes (0.12 s), so that a waiting statement gets a second
+try. An endpoint refuses such a try without running anything.
 """
 
 EXTRA_CONNECTIONS = 2
-"""Connections beyond the box's share that are opened when all are in use."""
+"""Connections beyond the box's share that may be opened when all are in use."""
 
 EXTRA_IDLE_S = 0.4
-"""Time after which an unused connection beyond the share is closed, in seconds.
+"""Idle time after which a connection beyond the share is closed, in seconds.
 
-Under load a box asks an endpoint several times a second, on any connection that is idle: kept for
-seconds, those beyond the share would stay for good, and boxes that lost power would find no place
-when they return.
+Under load any idle connection is used several times a second: with a limit of seconds those beyond
+the share would never close, and a restarted box would find the endpoint full.
 """
 
 MAINTENANCE_S = 0.25
-"""Time between looks for connections to close, in seconds."""
+"""Interval between searches for connections to close, in seconds."""
 
 
 @attrs.define(eq=False)
@@ -55,9 +54,9 @@
     Attributes
     ----------
     share : callable
-        Returns how many connections this box may keep to it.
+        Returns how many connections this box may keep to the endpoint.
     via : str or None
-        Address of the box through which new connections go.
+        Address of the box that relays new connections; None if they are direct.
     counts : ConnectionCounts
         Connections opened and replaced so far.
     """
@@ -77,16 +76,16 @@
 
     @property
     def in_use(self) -> int:
-        """Statements and transactions on it, and those that wait for a connection."""
+        """Connections in use or opening, and statements that wait for a connection."""
         return len(self._all) - len(self._idle) + self._opening + len(self._queue)
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection is open that nobody uses."""
+        """Whether the pool holds an idle connection."""
         return bool(self._idle)
 
     def has_idle_for(self, workspace: str) -> bool:
-        """Return whether a connection of ``workspace`` is open that nobody uses."""
+        """Return whether the pool holds an idle connection of ``workspace``."""
         return any(each.workspace == workspace for each in self._idle)
 
     @property
@@ -98,21 +97,21 @@
     def _running(self) -> int:
         """Connections on which a statement runs, or that are opening.
 
-        Those of transactions that rest between statements take nothing of the endpoint.
+        Connections of transactions that are idle between statements use no slot of the endpoint.
         """
         return sum(1 for each in self._all if each.is_busy) + self._opening
 
     @property
     def _may_open(self) -> bool:
-        """Whether this box may have more connections, if the endpoint has places."""
+        """Whether this box's own limit allows another connection."""
         return self.total < self.share() + EXTRA_CONNECTIONS
 
     def note_busy(self) -> None:
-        """Note that the endpoint was too busy for a statement: fewer run at once from now on."""
+        """Lower the concurrency limit after the endpoint was too busy for a statement."""
         self._limit.busy(self._running, trio.current_time())
 
     def note_answered(self) -> None:
-        """Note an answer; one that lets another statement run wakes who waits for it."""
+        """Record an answer; wake the next waiter if the concurrency limit rose."""
         before = self._limit.places(self.share() + EXTRA_CONNECTIONS)
         self._limit.answered()
         if self._limit.places(self.share() + EXTRA_CONNECTIONS) > before:
@@ -121,27 +120,27 @@
     async def acquire(
         self, session: Session, priority: int, arrived_at: float, limit: WaitLimit
     ) -> PooledConnection:
-        """Return a connection for one session's use, waiting for one if need be.
+        """Return a connection for a session, waiting for one if necessary.
 
         Parameters
         ----------
         priority : int
-            The lower goes first; of the same, who arrived first.
+            Lower values go first; equal ones in order of arrival.
         arrived_at : float
-            In seconds.
+            Time of arrival at this box, in seconds.
 
         Raises
         ------
         EndpointRefusedError
-            If the endpoint has no place in time, or is another one.
+            If the endpoint has no free connection in time, or is not the registered one.
         ExchangeError
-            If it cannot be reached.
+            If the endpoint cannot be reached.
         """
         workspace = session.workspace_name
         return await self._acquire(workspace, session.values, priority, arrived_at, limit)
 
     async def acquire_for_box(self, priority: int, timeout_s: float) -> PooledConnection:
-        """Return a connection for this box's own statements, whosever it is.
+        """Return a connection of any workspace for this box's own statements.
 
         Raises as `acquire` does.
         """
@@ -157,7 +156,7 @@
         arrived_at: float,
         limit: WaitLimit,
     ) -> PooledConnection:
-        """Return an idle connection of ``workspace``, of any if None, or a new one."""
+        """Return an idle connection of ``workspace`` (of any if None) or a new one."""
         key = QueueKey(priority, arrived_at, next(self._sequence))
         has_waited = False
         while True:
@@ -178,13 +177,13 @@
                 return opened
 
     def _has_room(self) -> bool:
-        """Return whether a connection may be opened beside those that are."""
+        """Return whether another connection may be opened now."""
         return trio.current_time() >= self._refused_until and self._may_open
 
     def _make_room(self) -> bool:
-        """Close the connection that has been idle longest; False if none is idle.
+        """Close the connection that has been idle longest; return False if none is idle.
 
-        Only a connection of another workspace is idle where this is asked.
+        Called only when every idle connection belongs to another workspace.
         """
         if not self._idle:
             return False
@@ -203,7 +202,7 @@
             connection.link.close()
 
     def _take_idle(self, workspace: str | None, values: dict[str, str]) -> PooledConnection | None:
-        """Take the connection last used with ``values``, else the last used at all."""
+        """Remove and return an idle connection with ``values`` set, else the last one used."""
         idle = [each for each in self._idle if workspace in (None, each.workspace)]
         if not idle:
             return None
@@ -212,7 +211,7 @@
         return connection
 
     def _expected_wait_s(self, key: QueueKey) -> float:
-        """Return how long it takes at least until a statement gets its turn, in seconds."""
+        """Return the minimum time until the statement with ``key`` may run, in seconds."""
         places = max(1, self._limit.places(self.share() + EXTRA_CONNECTIONS))
         queue_s = (self._queue.ahead(key) + 1) * self.row.service_s / places
         if self._all:
@@ -220,17 +219,17 @@
         return queue_s + max(0.0, self._refused_until - trio.current_time())
 
     async def _wait(self, key: QueueKey, limit: WaitLimit, *, has_waited: bool) -> None:
-        """Wait for a connection.
+        """Wait until a connection may be free.
 
         Parameters
         ----------
         begun : bool
-            Whether it waited before; who has waited is not sent away for what is left.
+            Whether the statement has waited before; it may then wait until its last deadline.
 
         Raises
         ------
         EndpointRefusedError
-            If none comes in time, or probably not.
+            If no connection is free in time, or the expected wait is too long.
         """
         expected_s = self._expected_wait_s(key)
         latest = limit.until if has_waited else limit.begun_until
@@ -249,13 +248,13 @@
             raise
         self._leave_queue(waiter)
         raise EndpointRefusedError(
-            f"{self.row.name} had no free place in time",
+            f"{self.row.name} had no free connection in time",
             at_limit=True,
             queue_s=self.row.service_s if self._all else None,
         )
 
     async def _wait_until_woken(self, waiter: Waiter) -> None:
-        """Wait until woken or, where more connections may be held, until one may be asked for."""
+        """Wait until woken, or until it is time to try to open another connection."""
         while True:
             with trio.move_on_at(self._recheck_at(waiter)):
                 await waiter.woken.wait()
@@ -265,9 +264,9 @@
                 return
 
     def _recheck_at(self, waiter: Waiter) -> float:
-        """Return when ``waiter`` looks whether to ask the endpoint, in seconds."""
+        """Return when ``waiter`` next checks whether to open a connection, in seconds."""
         if not self._may_open:
-            # Whoever gives a connection back wakes the next.
+            # `release` wakes the next waiter.
             return math.inf
         now = trio.current_time()
         if self._queue.is_first(waiter) and now < self._refused_until:
@@ -275,16 +274,16 @@
         return now + REFUSED_PAUSE_S
 
     def _leave_queue(self, waiter: Waiter) -> None:
-        """Wait no longer; who was woken meanwhile passes that on."""
+        """Remove ``waiter`` from the queue; wake the next one if it was woken already."""
         if not self._queue.discard(waiter):
             self.wake_next()
 
     def wake_next(self) -> None:
-        """Wake who waits first."""
+        """Wake the first waiter."""
         self._queue.wake_next()
 
     async def _open(self, workspace: str) -> PooledConnection | None:
-        """Open a connection for a workspace; None if the endpoint has too many."""
+        """Open a connection for ``workspace``; return None if the endpoint has too many."""
         self._opening += 1
         connection: PooledConnection | None = None
         try:
@@ -301,14 +300,14 @@
         return connection
 
     async def _dial(self, workspace: str) -> EndpointConnection | None:
-        """Return a new connection; None if the endpoint has too many."""
+        """Return a new connection, or None if the endpoint has too many."""
         started = trio.current_time()
         try:
             with trio.fail_after(OPEN_TIMEOUT_S):
                 link = await self._dialer.open(self.row.entry, self.via, workspace)
         except trio.TooSlowError:
             self.row.failed(started)
-            raise ExchangeError(f"{self.row.name} took no connection in time") from None
+            raise ExchangeError(f"{self.row.name} accepted no connection in time") from None
         except EndpointRefusedError as error:
             self._record_refusal(error)
             if error.at_limit:
@@ -323,14 +322,14 @@
     def _record_refusal(self, error: EndpointRefusedError) -> None:
         if error.at_limit:
             self._refused_until = trio.current_time() + REFUSED_PAUSE_S
-            # It answered: it is full, not silent.
+            # A refusal is an answer: the endpoint is full, not unresponsive.
             self.row.heard(trio.current_time())
         else:
             self.row.gone = True
             self.row.failed(trio.current_time())
 
     def release(self, connection: PooledConnection) -> None:
-        """Take back a connection."""
+        """Return a connection to the pool; a broken one is closed."""
         if connection.broken:
             if connection in self._all:
                 self._all.discard(connection)
@@ -341,7 +340,7 @@
         self.wake_next()
 
     def trim(self, now: float) -> None:
-        """Close idle connections beyond the share that were not used lately."""
+        """Close connections beyond the share that have been idle for `EXTRA_IDLE_S`."""
         if not self._idle:
             return
         keep = 0 if self.row.gone else self.share()
@@ -353,12 +352,12 @@
                 connection.close()
 
     def set_relay(self, via: str | None) -> None:
-        """Open connections through another box from here on, or directly."""
+        """Open new connections through the box at ``via``, or directly if None."""
         self.via = via
         self.drop_idle()
 
     def drop_idle(self) -> None:
-        """Close every idle connection: the endpoint may not be what it was."""
+        """Close every idle connection, as after a restart of the endpoint."""
         for connection in self._idle:
             connection.broken = True
             self._all.discard(connection)
--- a/wharftiller/daemons/sessions/connections/pooled_connection.py
+++ b/wharftiller/daemons/sessions/connections/pooled_connection.py
@@ -1,4 +1,4 @@
-"""One kept connection to an endpoint, and what is set on it."""
+"""A pooled connection to an endpoint, with its session state."""
 
 from __future__ import annotations
 
@@ -25,29 +25,29 @@
     from wharftiller.daemons.sessions.interfaces import EndpointConnection
 
 SetupStatement = ResetSession | SetValue | Prepare
-"""What a box runs for itself before a caller's statement."""
+"""Statements that set up a connection before a caller's statement."""
 
 MAX_PREPARED = 200
-"""Prepared names kept on one connection before it is reset."""
+"""Maximum of prepared statements on one connection before it is reset."""
 
 
 @attrs.define(eq=False)
 class PooledConnection:
-    """A connection and what is known to be set on it.
+    """A connection and the session state that is set on it.
 
     Attributes
     ----------
     workspace : str
-        Whose statements alone it runs; empty for anybody's and this box's own.
+        Workspace whose statements it runs; empty if it was opened for none.
     via : str or None
-        Address of the box that it goes through.
+        Address of the box that relays it; None if it is direct.
     values : dict of str to str
-        Session values that are set on it.
+        Session values set on the endpoint.
     prepared : dict of PreparedStatement to str
-        The names that it knows prepared statements by.
+        Names of the statements prepared on the endpoint.
     broken : bool
         Whether it must not be used again.
-    asking : bool
+    is_busy : bool
         Whether a statement runs on it.
     """
 
@@ -63,7 +63,7 @@
     is_busy: bool = False
 
     async def ask(self, query: EndpointQuery) -> Reply:
-        """Run one statement; the connection is useless unless an answer comes.
+        """Run one statement; without a reply the connection is marked broken.
 
         Raises
         ------
@@ -80,20 +80,20 @@
     async def take_on(
         self, session: Session, needed: PreparedStatement | None, *, may_reset: bool = True
     ) -> None:
-        """Give the connection the session's values and the prepared name that is needed.
+        """Set the session's values and prepare the statement that is needed.
 
-        The caller's own statement follows only once all of that was taken: else it could
-        run under another session's values.
+        The caller's statement is sent only after all replies, so that it never runs with
+        another session's values.
 
         Parameters
         ----------
         may_reset : bool
-            False inside a transaction, whose session can only have gained values.
+            False inside a transaction, where values are only ever added.
 
         Raises
         ------
         ExchangeError
-            If the connection breaks or the endpoint refuses one of them.
+            If the connection breaks or the endpoint refuses a setup statement.
         """
         setup = self._setup_statements(session, needed, may_reset)
         if setup:
@@ -102,9 +102,9 @@
             )
 
     async def begin(self, session: Session, query: EndpointQuery) -> Reply:
-        """Give the connection the session's values and open a transaction, in one write.
+        """Set the session's values and open a transaction, in one write.
 
-        Opening one runs nothing of the caller's, so nothing is lost where a value is refused.
+        No statement of the caller runs yet, so a refused value has no effect on its data.
 
         Raises
         ------
@@ -119,7 +119,7 @@
     def _setup_statements(
         self, session: Session, needed: PreparedStatement | None, may_reset: bool
     ) -> list[SetupStatement]:
-        """Return what this box must run so that a statement of ``session`` may follow."""
+        """Return the statements that set the connection up for ``session``."""
         setup: list[SetupStatement] = []
         values, prepared = self.values, self.prepared
         if may_reset and (values.keys() - session.values.keys() or len(prepared) > MAX_PREPARED):
@@ -133,7 +133,7 @@
         return setup
 
     def _apply_replies(self, setup: list[SetupStatement], replies: list[Reply]) -> None:
-        """Note what the endpoint took."""
+        """Record the state that the endpoint has accepted."""
         for body, reply in zip(setup, replies, strict=True):
             if reply.refusal is not None:
                 self.broken = True
@@ -148,7 +148,7 @@
                     self.prepared[prepared] = name
 
     async def _exchange(self, queries: list[EndpointQuery]) -> list[Reply]:
-        """Send ``queries`` in one write and return all replies."""
+        """Send ``queries`` in one write and return their replies."""
         row = self.pool.row
         row.sent(self.number, trio.current_time())
         has_replies = False
@@ -162,18 +162,18 @@
             if not has_replies:
                 self.broken = True
                 row.given_up(self.number, trio.current_time())
-        # What this box runs for itself takes no slot: it says nothing of how long work takes.
+        # Setup statements use no slot of the endpoint: their times are not service times.
         works = queries[-1].statement is not None
         row.answered(self.number, trio.current_time(), replies[-1].position, works=works)
         return replies
 
     def close(self) -> None:
-        """Close it and give its place to another."""
+        """Close the connection and wake the next waiter."""
         self.broken = True
         self.pool.release(self)
 
     def release(self, state: SessionState = SessionState.IDLE) -> None:
-        """Give it back; closed unless it stands outside any transaction."""
+        """Return it to the pool; it is closed unless ``state`` is idle."""
         if state is not SessionState.IDLE:
             self.broken = True
         self.pool.release(self)
--- a/wharftiller/daemons/sessions/connections/probes.py
+++ b/wharftiller/daemons/sessions/connections/probes.py
@@ -1,4 +1,4 @@
-"""Ask endpoints for their state: those that fell silent, and primaries nobody asks."""
+"""Probes of unresponsive endpoints and of primaries without recent contact."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 PROBE_S = 0.3
-"""Time between looks for endpoints to probe, in seconds."""
+"""Interval between searches for endpoints to probe, in seconds."""
 
 STATUS_TIMEOUT_S = 0.6
-"""Time to open a connection and be told the state, in seconds."""
+"""Time-out for a connection and a status request, in seconds."""
 
 DIRECT_RETRY_S = 0.7
-"""Time between tries of the direct way while another box is in between, in seconds."""
+"""Interval between direct connection attempts while a relay is in use, in seconds."""
 
 QUIET_PRIMARY_S = 0.8
-"""A primary that no box is known to have heard for so long is asked, in seconds."""
+"""Time without known contact of any box after which a primary is probed, in seconds."""
 
 CHECK_TIMEOUT_S = 0.4
-"""Time for a status that another box waits for, in seconds; within its round's time-out."""
+"""Time-out for a status that another box waits for, in seconds; within its renewal time-out."""
 
 PROBE_PRIORITY = 0
-"""Probes go before statements that wait for a connection."""
+"""Priority of probes: before statements that wait for a connection."""
 
 
 class Prober:
-    """Keeps this box's view of endpoints that it does not use otherwise."""
+    """Probes endpoints of which this box has no recent contact."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._probing: set[str] = set()
 
     async def run(self) -> None:
-        """Probe for ever."""
+        """Probe endpoints until cancelled."""
         while True:
             await trio.sleep(PROBE_S)
             now = trio.current_time()
@@ -63,7 +63,7 @@
                 if (row.gone and row.name not in leads) or row.name in self._probing:
                     continue
                 if not self._state.serves_group(row.entry.group):
-                    # Its homes look after it; connections to it are few.
+                    # Probed by its gateways: its connections are scarce.
                     continue
                 is_quiet_primary = row.name in leads and self._lacks_contact(row, now)
                 if row.is_suspect(now) or is_quiet_primary:
@@ -74,16 +74,16 @@
                     self._nursery.start_soon(self._try_direct, row)
 
     def _lacks_contact(self, row: EndpointRow, now: float) -> bool:
-        """Return whether neither this box nor one that told it heard the primary lately."""
+        """Return whether no recent contact with the primary is known, by this or another box."""
         newest = self._state.positions.of_group(row.entry.group).newest
         reported_at = -math.inf if newest is None else newest.at
         return now - max(row.last_contact_at, reported_at) > QUIET_PRIMARY_S
 
     async def check(self, names: list[str]) -> None:
-        """Ask those of the endpoints that were not heard lately, for another box.
+        """Request the state of endpoints without recent contact, on behalf of another box.
 
-        One that this box has found silent for a while is being asked all the time: the
-        other box need not wait for one more question to it.
+        Endpoints that have been unresponsive for a while are left out: they are probed
+        regularly, and the other box need not wait for one more time-out.
         """
         now = trio.current_time()
         async with trio.open_nursery() as nursery:
@@ -121,7 +121,7 @@
             self._probing.discard(row.name)
 
     def _switch_relay(self, row: EndpointRow) -> None:
-        """Reach a primary that does not answer through another box, or directly again."""
+        """Switch an unresponsive primary to a relay, or back to direct connections."""
         pool = self._state.endpoints.pool(row)
         relay = None if pool.via is not None else self._directory.relay_to(row.name)
         if relay != pool.via:
@@ -130,7 +130,7 @@
             self._state.wake()
 
     async def _try_direct(self, row: EndpointRow) -> None:
-        """Go back to the direct way once it works."""
+        """Switch back to direct connections if one can be opened."""
         try:
             with trio.move_on_after(STATUS_TIMEOUT_S):
                 link = await self._dialer.open(row.entry)
@@ -144,14 +144,14 @@
             self._probing.discard(row.name)
 
     async def status(self, row: EndpointRow) -> EndpointStatus | None:
-        """Return the endpoint's state; None if it is too busy to tell.
+        """Return the endpoint's state, or None if it is too busy to report it.
 
         Raises
         ------
         ExchangeError
             If it does not answer in time.
         EndpointRefusedError
-            If it takes no connection.
+            If it refuses the connection.
         """
         started = trio.current_time()
         pool = self._state.endpoints.pool(row)
@@ -162,14 +162,14 @@
             except ExchangeError:
                 if not had_idle:
                     raise
-                # Kept connections may have broken while the endpoint was away; a new one tells.
+                # The idle connection may be stale: retry once on a new one.
                 pool.drop_idle()
                 status = await self._fetch_status(row)
             row.heard(trio.current_time())
             return status
         row.failed(started)
         pool.drop_idle()
-        raise ExchangeError(f"{row.name} told no state within {STATUS_TIMEOUT_S} s")
+        raise ExchangeError(f"{row.name} reported no state within {STATUS_TIMEOUT_S} s")
 
     async def _fetch_status(self, row: EndpointRow) -> EndpointStatus | None:
         started = trio.current_time()
@@ -185,7 +185,7 @@
         return status
 
     def demote_soon(self, endpoint: str, term: int) -> None:
-        """Tell a former primary that another leads, if it can be reached."""
+        """Start demoting a former primary; an unreachable one is only logged."""
         self._nursery.start_soon(self._demote, endpoint, term)
 
     async def _demote(self, endpoint: str, term: int) -> None:
--- a/wharftiller/daemons/sessions/connections/relay.py
+++ b/wharftiller/daemons/sessions/connections/relay.py
@@ -1,8 +1,8 @@
-"""Pass a connection to an endpoint through a box that reaches it.
+"""Relay of connections to an endpoint through another box.
 
-A box that is cut from a primary asks another box, by one line, to connect it; from
-then on bytes pass unchanged either way. The box in the middle decides nothing: the
-lease under which a statement is sent is that of the box that sends it.
+A box that cannot reach a primary sends another box one request line with the endpoint's
+address; from then on bytes pass unchanged in both directions. Statements run under the lease
+of the box that sends them, not of the relay.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 VERB = "RELAY"
 MAX_REQUEST_BYTES = 80
-"""Longest request for a relay: the verb, an address and the line's end."""
+"""Maximum length of a relay request: verb, address and line end."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Time to name the address and to reach it, in seconds."""
+"""Time-out for the request line and the connection to the endpoint, in seconds."""
 
 CHUNK_BYTES = 16_384
 
@@ -35,7 +35,7 @@
     Raises
     ------
     ExchangeError
-        If the box cannot be reached; if it cannot reach ``address``, the stream ends.
+        If the box cannot be reached. If it cannot reach ``address``, the stream ends instead.
     """
     stream = await transport.connect(via)
     try:
@@ -52,7 +52,7 @@
     Parameters
     ----------
     is_endpoint : callable
-        Whether an address is that of a registered endpoint; no other is connected.
+        Returns whether an address is a registered endpoint's; others are refused.
     """
 
     def __init__(self, transport: Transport, is_endpoint: Callable[[str], bool]) -> None:
@@ -60,7 +60,7 @@
         self._is_endpoint = is_endpoint
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection until either side ends it."""
+        """Serve one connection until either side closes it."""
         endpoint_stream: trio.abc.Stream | None = None
         received = b""
         try:
@@ -72,7 +72,7 @@
             if endpoint_stream is not None:
                 await _pipe(stream, endpoint_stream, received)
         except (ExchangeError, trio.BrokenResourceError, trio.ClosedResourceError):
-            # The other box sees its stream end and takes the endpoint as not reached.
+            # The other box sees the end of the stream as a failed connection.
             return
         finally:
             if endpoint_stream is not None:
@@ -81,17 +81,19 @@
 
     @staticmethod
     async def _receive_request(stream: trio.abc.Stream) -> tuple[str, bytes]:
-        """Return the address asked for, and what came behind it."""
+        """Return the requested address and the bytes received after the request."""
         data = b""
         while b"\r\n" not in data:
             more = await stream.receive_some(MAX_REQUEST_BYTES)
             data += more
             if not more or len(data) > CHUNK_BYTES:
-                raise ExchangeError("no relay was asked for")
+                raise ExchangeError(
+                    "the stream ended, or is too long, before a whole relay request line"
+                )
         line, received = data.split(b"\r\n", 1)
         verb, _, address = line.decode("latin-1").partition(" ")
         if verb != VERB or len(line) > MAX_REQUEST_BYTES:
-            raise ExchangeError(f"{line[:20]!r} asks for no relay")
+            raise ExchangeError(f"{line[:20]!r} is no relay request; expected RELAY and an address")
         return address, received
 
 
@@ -110,6 +112,6 @@
         while data := await source.receive_some(CHUNK_BYTES):
             await sink.send_all(data)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
-        # One side is gone; the scope below ends the other.
+        # One side is closed; cancelling the scope ends the other direction.
         pass
     scope.cancel()
--- a/wharftiller/daemons/sessions/connections/wait_queue.py
+++ b/wharftiller/daemons/sessions/connections/wait_queue.py
@@ -1,4 +1,4 @@
-"""Statements that wait for a connection to one endpoint, in the order in which they go."""
+"""Priority queue of statements that wait for a connection to one endpoint."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen(order=True)
 class QueueKey:
-    """When a statement's turn comes: the lower goes first.
+    """Sort key of a waiting statement; lower keys go first.
 
     Attributes
     ----------
     priority : int
-        Of its route.
+        Priority of the statement's route.
     arrived_at : float
-        When it came to this box, in seconds: one that an endpoint was too busy for keeps its place.
+        Time of arrival at this box, in seconds; a statement that is retried keeps it.
     ticket : int
-        Rises with each that waits.
+        Sequence number that breaks ties.
     """
 
     priority: int
@@ -29,12 +29,12 @@
 
 @attrs.define(order=True)
 class Waiter:
-    """A statement that waits.
+    """A waiting statement.
 
     Attributes
     ----------
     woken : trio.Event
-        Set when it is its turn.
+        Set when the statement may try again.
     """
 
     key: QueueKey
@@ -42,7 +42,7 @@
 
 
 class WaitQueue:
-    """The waiting statements of one endpoint."""
+    """Waiting statements of one endpoint, in order of their keys."""
 
     def __init__(self) -> None:
         self._waiters: list[Waiter] = []
@@ -51,21 +51,21 @@
         return len(self._waiters)
 
     def ahead(self, key: QueueKey) -> int:
-        """Return how many go before ``key``."""
+        """Return how many waiters go before ``key``."""
         return sum(1 for each in self._waiters if each.key < key)
 
     def join(self, key: QueueKey) -> Waiter:
-        """Add a statement."""
+        """Add a waiter with ``key``."""
         waiter = Waiter(key)
         heapq.heappush(self._waiters, waiter)
         return waiter
 
     def is_first(self, waiter: Waiter) -> bool:
-        """Return whether ``waiter`` goes next."""
+        """Return whether ``waiter`` is the next to wake."""
         return bool(self._waiters) and self._waiters[0] is waiter
 
     def discard(self, waiter: Waiter) -> bool:
-        """Remove ``waiter``; return whether it still waited."""
+        """Remove ``waiter``; return whether it was still in the queue."""
         if waiter not in self._waiters:
             return False
         self._waiters.remove(waiter)
@@ -73,6 +73,6 @@
         return True
 
     def wake_next(self) -> None:
-        """Wake who goes next; it waits no more."""
+        """Remove and wake the first waiter."""
         if self._waiters:
             heapq.heappop(self._waiters).woken.set()
--- a/wharftiller/daemons/sessions/forwarding/__init__.py
+++ b/wharftiller/daemons/sessions/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Statements passed between boxes where connections are scarce."""
+"""Forwarding of statements to gateway boxes where connections are scarce."""
--- a/wharftiller/daemons/sessions/forwarding/executor.py
+++ b/wharftiller/daemons/sessions/forwarding/executor.py
@@ -1,4 +1,4 @@
-"""Run statements that other boxes pass to this one, a home of their group."""
+"""Execution of statements that other boxes forward to this gateway."""
 
 from __future__ import annotations
 
@@ -22,42 +22,44 @@
     from wharftiller.edges.forwarded_json import ForwardedStatement
 
 REAP_POLL_S = 0.5
-"""Time between looks for transactions that nobody uses any more, in seconds."""
+"""Interval between searches for abandoned transactions, in seconds."""
 
 ABANDONED_MARGIN_S = 1.0
-"""Time beyond a transaction's longest rest after which its box must be gone, in seconds."""
+"""Time beyond the idle limit of transactions after which one is abandoned, in seconds."""
 
 
 @attrs.define(eq=False)
-class _OpenTransaction:
-    """A transaction of another box.
+class _ForwardedTransaction:
+    """An open transaction that another box forwards.
 
     Attributes
     ----------
-    running : bool
-        Whether a statement of it runs now.
-    ended : bool
-        Whether its box gave it up meanwhile.
+    used_at : float
+        Start, or end of its last statement, in seconds.
+    is_running : bool
+        Whether one of its statements runs now.
+    has_ended : bool
+        Whether its box has asked for a rollback.
     """
 
     session: Session
     used_at: float
-    running: bool = False
-    ended: bool = False
+    is_running: bool = False
+    has_ended: bool = False
 
 
 class ForwardedExecutor:
-    """Runs other boxes' statements and holds their open transactions."""
+    """Runs statements of other boxes and keeps their open transactions."""
 
     def __init__(self, state: SharedState, rate_limiter: RateLimiter) -> None:
         self._state = state
         self._runner = StatementRunner(state, rate_limiter)
-        self._transactions: dict[str, _OpenTransaction] = {}
+        self._transactions: dict[str, _ForwardedTransaction] = {}
         self._running = 0
 
     @property
     def count(self) -> int:
-        """Statements that run and transactions that are open."""
+        """Running statements and open transactions."""
         return self._running + len(self._transactions)
 
     async def run(self, value: Any) -> dict[str, Any]:
@@ -66,7 +68,7 @@
         Raises
         ------
         BadRequestError
-            If the question holds none.
+            If ``value`` is no forwarded statement.
         """
         message = statement_from_json(value)
         self._running += 1
@@ -80,7 +82,7 @@
         now = trio.current_time()
         session = self._session(message, now)
         if self._lacks_workspace(message):
-            detail = f"{message.box} told no workspace of it; every box must know workspaces"
+            detail = f"{message.box} sent no workspace with it; upgrade that box"
             reply = refused(RefusalKind.UNKNOWN_KEY, detail, SessionState.IDLE)
         elif session is None:
             detail = f"{self._state.box} does not know the transaction; it was rolled back"
@@ -91,7 +93,7 @@
         return self._forwarded_reply(message, session, reply)
 
     def _lacks_workspace(self, message: ForwardedStatement) -> bool:
-        """Return whether it needs a workspace and none is told, as by boxes that know of none."""
+        """Return whether a required workspace is missing, as from a box of an old version."""
         configuration = self._state.configuration
         if message.workspace is not None or configuration.workspaces is None:
             return False
@@ -99,7 +101,7 @@
         return route is not None and not route.needs_no_key
 
     def _session(self, message: ForwardedStatement, now: float) -> Session | None:
-        """Return the session that the statement runs in; None if its transaction is unknown."""
+        """Return the session of the statement, or None if its transaction is unknown."""
         transaction = self._transactions.get(message.transaction)
         if transaction is not None:
             session = transaction.session
@@ -117,7 +119,7 @@
             self._runner.begin_for_box(
                 session, message.route, message.read_only, now - message.begun_s
             )
-            self._transactions[message.transaction] = _OpenTransaction(session, now)
+            self._transactions[message.transaction] = _ForwardedTransaction(session, now)
         return session
 
     async def _run_in_session(
@@ -126,16 +128,16 @@
         self._register_prepared(session, message)
         transaction = self._transactions.get(message.transaction)
         if transaction is not None:
-            transaction.running = True
+            transaction.is_running = True
         try:
             return await self._runner.run_for_box(
                 session, message.route, message.statement, arrived_at
             )
         finally:
             if transaction is not None:
-                transaction.running = False
+                transaction.is_running = False
                 transaction.used_at = trio.current_time()
-                if transaction.ended or session.state is not SessionState.IN_TRANSACTION:
+                if transaction.has_ended or session.state is not SessionState.IN_TRANSACTION:
                     self._remove(message.transaction)
 
     @staticmethod
@@ -157,15 +159,15 @@
         return ForwardedReply(reply, session.own_writes.get(group), unsettled, usable, lacks)
 
     def end(self, value: Any) -> dict[str, Any]:
-        """Roll back a transaction that its box gave up."""
+        """Roll back a transaction on request of its box."""
         try:
             identity = str(value["transaction"])
         except (KeyError, TypeError) as error:
             raise BadRequestError(f"no transaction is named: {error!r}; run one version") from None
         transaction = self._transactions.get(identity)
         if transaction is not None:
-            transaction.ended = True
-            if not transaction.running:
+            transaction.has_ended = True
+            if not transaction.is_running:
                 self._remove(identity)
         return {}
 
@@ -175,7 +177,7 @@
             self._runner.end_transaction(transaction.session)
 
     async def run_for_ever(self) -> None:
-        """Roll back transactions whose box is gone, and watch the reads."""
+        """Roll back abandoned transactions and enforce read time-outs."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._runner.patience.run)
             while True:
@@ -185,6 +187,6 @@
     def _reap(self, now: float) -> None:
         max_unused_s = self._state.configuration.transaction_idle_s + ABANDONED_MARGIN_S
         for identity, transaction in list(self._transactions.items()):
-            if not transaction.running and now - transaction.used_at > max_unused_s:
+            if not transaction.is_running and now - transaction.used_at > max_unused_s:
                 self._state.log.event("transaction_abandoned", transaction=identity)
                 self._remove(identity)
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Pass statements to a group's home box, where this box keeps no connections to the group."""
+"""Forwarding of statements to a gateway box of their group."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
     from wharftiller.edges.forwarded_json import ForwardedReply
 
 MAX_GATEWAYS_TRIED = 3
-"""Homes that a statement is passed to, one after the other, before it is refused."""
+"""Maximum of gateways that a statement is sent to, one after the other."""
 
 
 class _NotBegunError(Exception):
-    """The transaction did not begin at a home; another may be asked."""
+    """The transaction did not begin on a gateway; another one may be tried."""
 
 
 def _may_try_another(forwarded: ForwardedReply, routed: RoutedStatement) -> bool:
-    """Return whether a home ran nothing because it lacks a lease that another may have.
+    """Return whether a gateway ran nothing for lack of a lease that another one may have.
 
-    Where homes held the statement for its goal already, nobody is asked any more: in an outage
-    beside a cut none of them may have a lease.
+    False once the statement's latency goal has passed: during a partition no gateway may
+    have a lease.
     """
     refusal = forwarded.reply.refusal
     ran_nothing = refusal is not None and refusal.has_not_run
@@ -55,7 +55,7 @@
 
 
 class Forwarder:
-    """Has home boxes run the statements of groups that this box does not serve itself."""
+    """Forwards statements of groups that this box does not serve to their gateways."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
     async def single(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
     ) -> Reply | None:
-        """Return the answer to a statement outside any transaction; None if none is to be asked."""
+        """Forward an autocommit statement; return None if this box is to run it itself."""
         try:
             routed = route_statement(session, route, statement, arrived_at)
             return await self._forward_autocommit(routed)
@@ -100,7 +100,7 @@
                     raise self._outcome_unknown(routed, why) from error
                 may_have_run = True
         if self._gateways.choose(routed.route.group, tried) is None:
-            # This box is a home, or the next one with those it asked gone.
+            # This box is a gateway, or becomes one without those that were tried.
             return refusal
         if refusal is not None:
             return refusal
@@ -114,7 +114,7 @@
         statement: Statement,
         arrived_at: float,
     ) -> Reply | None:
-        """Return the answer to a statement inside ``transaction``; None if none is to be asked."""
+        """Forward a statement of ``transaction``; return None if this box is to run it itself."""
         try:
             routed = route_statement(session, transaction.route, statement, arrived_at)
             reply = await self._in_transaction(routed, transaction)
@@ -136,12 +136,12 @@
             return await self._begin(routed, transaction)
         gateway = self._directory.boxes.get(remote.box)
         if gateway is None:
-            detail = f"{remote.box}, which ran the transaction, is gone"
+            detail = f"{remote.box}, which ran the transaction, is no longer listed"
             raise StatementRefusedError(RefusalKind.ROLLED_BACK, detail, Cause.BOX_LOST)
         return await self._send_in_transaction(gateway, routed, transaction)
 
     async def _begin(self, routed: RoutedStatement, transaction: OpenTransaction) -> Reply | None:
-        """Have a home begin the transaction with its first statement."""
+        """Begin the transaction on a gateway, with its first statement."""
         why = "no box that serves it answers"
         tried: set[str] = set()
         for gateway in self._gateways_to_try(routed.route.group, tried):
@@ -192,7 +192,7 @@
         reply = forwarded.reply
         if begins and _may_try_another(forwarded, routed):
             transaction.wrote = wrote_before
-            raise _NotBegunError(f"{gateway.name} may not use the primary now")
+            raise _NotBegunError(f"{gateway.name} has no lease for the primary now")
         match reply.state:
             case SessionState.IDLE:
                 routed.session.transaction = None
@@ -204,12 +204,12 @@
         return reply
 
     def drop(self, session: Session, transaction: OpenTransaction) -> None:
-        """Forget ``transaction``; its home rolls it back."""
+        """Detach ``transaction`` from its session and roll it back."""
         session.transaction = None
         self.end_remote(transaction)
 
     def end_remote(self, transaction: OpenTransaction) -> None:
-        """Have the transaction's home roll it back, if one runs it."""
+        """Roll the transaction back on its gateway, if it has begun there."""
         remote, transaction.remote = transaction.remote, None
         if remote is not None:
             self._nursery.start_soon(self._send_end, remote)
@@ -221,15 +221,15 @@
         try:
             await self._client.send_end(gateway, remote.identity)
         except ExchangeError as error:
-            # The home ends it by itself once it has rested for too long.
+            # The gateway rolls it back once it has been idle for too long.
             self._state.log.event("end_not_told", other=gateway.name, why=str(error))
 
-    # Asking a home ------------------------------------------------------
+    # Requests to a gateway ----------------------------------------------
 
     def _gateways_to_try(self, group: str, tried: set[str]) -> Iterator[Box]:
-        """Yield homes to ask one after the other, noting each in ``tried``.
+        """Yield gateways to try in turn, adding each to ``tried``.
 
-        Ends where this box is to run it itself.
+        Ends when this box is to run the statement itself.
         """
         while len(tried) < MAX_GATEWAYS_TRIED:
             gateway = self._gateways.choose(group, tried)
@@ -256,7 +256,7 @@
     async def _send(
         self, gateway: Box, routed: RoutedStatement, message: ForwardedStatement
     ) -> ForwardedReply:
-        """Return what the home told; raise as `GatewayClient.forward` does."""
+        """Return the gateway's reply; raises as `GatewayClient.forward` does."""
         forwarded = await self._client.forward(gateway, message, routed.until + MARGIN_S)
         self._apply_reply(routed, forwarded, gateway)
         return forwarded
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -1,4 +1,4 @@
-"""Pass statements to homes over kept connections, and notice homes that fall silent."""
+"""Client of gateway boxes, with detection of gateways that stop responding."""
 
 from __future__ import annotations
 
@@ -24,39 +24,38 @@
     from wharftiller.edges.transport import Transport
 
 CONNECT_TIMEOUT_S = 0.3
-"""Time to connect to a home, in seconds: one lost packet is sent again after 0.2 s."""
+"""Time-out for connecting to a gateway, in seconds: allows one retransmission after 0.2 s."""
 
 REPLY_SLACK_S = 0.05
-"""Time beyond a statement's time-out that a home's answer may take to get here, in seconds."""
+"""Time beyond a statement's time-out for the gateway's reply to arrive, in seconds."""
 
 UNRESPONSIVE_S = 0.3
-"""Time for which a home may owe an answer before it is asked whether it lives, in seconds."""
+"""Time without a reply after which a gateway with outstanding statements is probed, in seconds."""
 
 PROBE_TIMEOUT_S = 0.25
-"""Time that it then has, in seconds: one lost packet is sent again after 0.2 s."""
+"""Time-out of that probe, in seconds: allows one retransmission after 0.2 s."""
 
 WATCH_POLL_S = 0.1
-"""Time between looks at homes that owe answers, in seconds."""
-
+"""Interval between checks of gateways with outstanding statements, in seconds."""
 
 NOT_RUN_STATUSES = (400, 404, 413)
-"""Answers to a question that was not understood: nothing of it was run."""
+"""HTTP statuses of requests that were rejected unread: nothing was run."""
 
 
 class GatewayLostError(ExchangeError):
-    """The home stopped answering while it ran a statement."""
+    """The gateway stopped responding while it ran a statement."""
 
 
 @attrs.define(eq=False)
 class _GatewayLink:
-    """What this box knows of one home from passing statements to it.
+    """Connections to one gateway and its outstanding statements.
 
     Attributes
     ----------
     outstanding : dict
-        Scope of every statement that it has not answered, with the sending time.
+        Cancel scope of each statement without a reply, with its sending time in seconds.
     probed_at : float
-        When it was last asked whether it lives, in seconds.
+        Time of the last probe, in seconds.
     """
 
     box: Box
@@ -68,7 +67,7 @@
 
 
 class GatewayClient:
-    """Connections of one box to homes, and what each home owes."""
+    """Sends statements to gateways and tracks those that are outstanding."""
 
     def __init__(
         self,
@@ -89,14 +88,14 @@
     async def forward(
         self, gateway: Box, message: ForwardedStatement, until: float
     ) -> ForwardedReply:
-        """Return the home's reply to a statement that times out at ``until`` (seconds).
+        """Return a gateway's reply to a statement that times out at ``until`` (seconds).
 
         Raises
         ------
         NotSentError
-            If the statement did not reach it, or it answered that it could not run it.
+            If the statement did not reach the gateway or was rejected unread.
         ExchangeError
-            If no usable answer came.
+            If no usable reply came: the statement may have run.
         """
         link = self._link(gateway)
         body = statement_to_json(message)
@@ -104,11 +103,11 @@
             try:
                 response = await link.pool.post("/peer/run", body)
             except NotSentError:
-                self._mark_lost(link, "it takes no connection")
+                self._mark_lost(link, "it accepts no connection")
                 raise
         if scope.cancelled_caught:
             if link.lost:
-                raise GatewayLostError(f"{gateway.name}, which ran it, stopped answering")
+                raise GatewayLostError(f"{gateway.name}, which ran it, stopped responding")
             raise GatewayLostError(f"{gateway.name} did not answer in time")
         link.last_contact_at = trio.current_time()
         if response.status != 200:
@@ -124,12 +123,12 @@
             raise ExchangeError(str(error)) from error
 
     async def send_end(self, gateway: Box, transaction: str) -> None:
-        """Have a home roll a transaction back, if it takes the word in time.
+        """Ask a gateway to roll a transaction back; give up after `CONNECT_TIMEOUT_S`.
 
         Raises
         ------
         ExchangeError
-            If no answer came.
+            If the request fails.
         """
         with trio.move_on_after(CONNECT_TIMEOUT_S):
             await self._link(gateway).pool.post("/peer/end", {"transaction": transaction})
@@ -143,7 +142,7 @@
 
     @contextmanager
     def _outstanding(self, link: _GatewayLink, until: float) -> Iterator[trio.CancelScope]:
-        """Note that ``link`` owes an answer; cancelled when it is lost or time is out."""
+        """Track an outstanding statement; cancelled on time-out or when ``link`` is lost."""
         link.lost = False
         with trio.CancelScope(deadline=until + REPLY_SLACK_S) as scope:
             link.outstanding[scope] = trio.current_time()
@@ -154,7 +153,7 @@
                 del link.outstanding[scope]
 
     async def watch_for_ever(self) -> None:
-        """Find homes that owe answers and do not live; what they owe is given up at once."""
+        """Probe unresponsive gateways; cancel the outstanding statements of lost ones."""
         while True:
             await self._has_outstanding.wait()
             await trio.sleep(WATCH_POLL_S)
@@ -170,7 +169,7 @@
 
     async def _probe(self, link: _GatewayLink) -> None:
         if not await self._directory.is_alive(link.box, PROBE_TIMEOUT_S):
-            self._mark_lost(link, "it owes answers and does not say that it lives")
+            self._mark_lost(link, "it has outstanding statements and does not answer a probe")
 
     def _mark_lost(self, link: _GatewayLink, why: str) -> None:
         self._gateways.avoid(link.box.name)
@@ -180,7 +179,7 @@
             scope.cancel()
 
     async def leave(self, name: str, for_s: float) -> None:
-        """Pass nothing new to a box that is stopping."""
+        """Send no new statements to a box that is stopping, for ``for_s`` seconds."""
         self._gateways.avoid(name, for_s)
         link = self._links.get(name)
         if link is not None:
--- a/wharftiller/daemons/sessions/forwarding/gateways.py
+++ b/wharftiller/daemons/sessions/forwarding/gateways.py
@@ -1,4 +1,4 @@
-"""Which boxes serve a group's statements, as this box sees the deployment."""
+"""Selection of the gateway boxes that serve a group's statements."""
 
 from __future__ import annotations
 
@@ -19,37 +19,35 @@
     from wharftiller.daemons.sessions.state import SharedState
 
 AVOIDED_S = 3.0
-"""Time for which a home that did not answer is passed over, in seconds: a restart takes 1 to 2."""
-
+"""Time for which an unresponsive gateway is skipped, in seconds: longer than a restart."""
 
 SPARE_GATEWAYS = 1
-"""Boxes after the homes of a group in each data centre that keep leases in an outage as well."""
-
+"""Boxes per data centre, ranked after a group's gateways, that keep leases in an outage too."""
 
 LEASE_MISSING_S = 1.0
-"""Time for which a home that may not use a primary is passed over for others, in seconds.
+"""Time for which a gateway without a lease is skipped, in seconds.
 
-A box that starts while the platform is away has no lease until that is back, for 6 s and more;
-the data centre's other home and its spare have.
+A box that starts while the platform is unavailable gets no lease until it returns; the data
+centre's other gateway and its spare have one.
 """
 
 
 @attrs.frozen
 class _GroupGateways:
-    """The homes of one group in this data centre.
+    """The gateways of one group in this data centre.
 
     Attributes
     ----------
     near : tuple of str
-        Their names, best first.
+        Names of the gateways, best first.
     spares : tuple of str
-        The boxes that follow them.
+        Names of the boxes ranked after them.
     is_gateway : bool
-        Whether this box is one.
+        Whether this box is a gateway.
     chosen : str or None
-        The one that this box passes statements to; None if it runs them itself.
+        Gateway that this box forwards to; None if it runs statements itself.
     is_spare : bool
-        Whether statements are passed to this box where one of the homes does not answer.
+        Whether this box receives statements when a gateway does not answer.
     """
 
     plan: GatewayPlan
@@ -61,10 +59,10 @@
 
 
 class Gateways:
-    """The homes of every group, by the list of boxes and by who answered lately.
+    """Gateways of every group, from the list of boxes and their recent replies.
 
-    They are worked out once for each list of boxes, configuration and choice of boxes passed
-    over, not for each of the hundreds of questions a second (see `BoxList`).
+    Results are cached until the list of boxes, the configuration or the set of skipped boxes
+    changes, as they are needed for every statement (see `BoxList`).
     """
 
     def __init__(self, state: SharedState, directory: BoxDirectory) -> None:
@@ -81,7 +79,7 @@
         state.serves_group = self.serves
 
     def plan(self, group: str) -> GatewayPlan:
-        """Return how ``group``'s connections are dealt out among the boxes listed."""
+        """Return how ``group``'s connections are divided among the listed boxes."""
         return self._gateways(group).plan
 
     def share(self, group: str) -> int:
@@ -90,11 +88,11 @@
         return gateways.plan.share if gateways.is_gateway else 1
 
     def serves(self, group: str) -> bool:
-        """Return whether this box runs ``group``'s statements by itself."""
+        """Return whether this box runs ``group``'s statements itself."""
         return self._gateways(group).is_gateway
 
     def all_gateways(self, group: str) -> list[str] | None:
-        """Return ``group``'s homes in all data centres; None if every box is one."""
+        """Return ``group``'s gateways in all data centres; None if every box is one."""
         plan = self.plan(group)
         if plan.gateways is None:
             return None
@@ -108,7 +106,7 @@
         return cached
 
     def others_of(self, groups: Iterable[str]) -> list[Box] | None:
-        """Return the other boxes that are homes of ``groups``; None if every box is one."""
+        """Return the other gateways of ``groups``; None if every box is one."""
         found: dict[str, Box] = {}
         for group in groups:
             names = self.all_gateways(group)
@@ -119,12 +117,12 @@
         return list(found.values())
 
     def may_run_any(self) -> bool:
-        """Return whether other boxes may pass statements of some group to this one."""
+        """Return whether other boxes may forward statements to this one."""
         gateways = map(self._gateways, self._state.configuration.groups)
         return any(each.is_gateway or each.is_spare for each in gateways)
 
     def choose(self, group: str, tried: Collection[str]) -> Box | None:
-        """Return the home to pass a statement to; None if this box is the one."""
+        """Return the gateway to forward to; None if this box runs the statement itself."""
         gateways = self._gateways(group)
         if tried:
             gateways = self._compute(group, tried)
@@ -136,7 +134,7 @@
     def _choose_with_lease(
         self, group: str, gateways: _GroupGateways, tried: Collection[str]
     ) -> str | None:
-        """Return the home to pass a statement to, one that is not known to lack a lease if any."""
+        """Return the gateway to forward to, preferably one not known to lack a lease."""
         own_name = self._state.box
         if gateways.is_gateway and (
             gateways.plan.gateways is None or not self._state.lacks_lease(group)
@@ -151,15 +149,15 @@
         return ranked(own_name + group, candidates)[0] if candidates else gateways.chosen
 
     def record_lease_missing(self, name: str) -> None:
-        """Note that a home may not use a primary that others may."""
+        """Record that a gateway lacks a lease that others may have."""
         self._lease_missing_until[name] = trio.current_time() + LEASE_MISSING_S
 
     def record_lease_present(self, name: str) -> None:
-        """Note that a home may use its primary."""
+        """Record that a gateway has a lease."""
         self._lease_missing_until.pop(name, None)
 
     def avoid(self, name: str, for_s: float = AVOIDED_S) -> None:
-        """Pass over a box for a while: it did not answer, or it is stopping."""
+        """Skip a box for ``for_s`` seconds: it is unresponsive or stopping."""
         self._skipped_until[name] = trio.current_time() + for_s
         self._cached_until = -math.inf
 
@@ -171,7 +169,7 @@
         return cached
 
     def _drop_outdated_cache(self) -> None:
-        """Forget what was worked out from another list, configuration or choice."""
+        """Clear the cache if the list, the configuration or the skipped boxes changed."""
         now = trio.current_time()
         if (
             self._cached_list is self._directory.list
@@ -194,7 +192,7 @@
         spares = tuple(order[len(near) : len(near) + SPARE_GATEWAYS])
         if plan.gateways is None or own_name in near:
             return _GroupGateways(plan, near, spares, True, None)
-        # Boxes spread over the homes; each keeps to one while it answers.
+        # Ranking by the own name distributes the boxes over the gateways.
         return _GroupGateways(
             plan, near, spares, False, ranked(own_name + group, near)[0], own_name in spares
         )
@@ -206,7 +204,7 @@
         return plan_gateways(max_connections, len(boxes.others) + 1, len(boxes.data_centres))
 
     def _near(self, tried: Collection[str]) -> list[str]:
-        """Return the boxes of this data centre that may be homes, this one among them."""
+        """Return the boxes of this data centre that may be gateways, including this one."""
         skipped = self._skipped_until.keys() | set(tried)
         own_name = self._state.box
         return [n for n in self._directory.list.near if n == own_name or n not in skipped]
--- a/wharftiller/tests/daemons/sessions/connections/test_pool.py
+++ b/wharftiller/tests/daemons/sessions/connections/test_pool.py
@@ -1,4 +1,4 @@
-"""Who gets a connection to an endpoint, when, and which connections are kept."""
+"""Tests of the connection pool: queueing, session setup, workspaces and idle connections."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class FakeConnection:
-    """A connection on which nothing is asked."""
+    """A connection that records what is written to it."""
 
     def __init__(self, dialer: FakeDialer) -> None:
         self._dialer = dialer
@@ -63,7 +63,7 @@
 
 
 class FakeDialer:
-    """An endpoint with so many ``free`` places."""
+    """Dialer of an endpoint that accepts ``free`` more connections."""
 
     def __init__(self, free: int) -> None:
         self.free = free
@@ -100,7 +100,7 @@
     priority: int = 1,
     of: Session | None = None,
 ) -> PooledConnection:
-    """Acquire a connection for a session, waiting for ``timeout_s`` seconds at most."""
+    """Acquire a connection for a session, waiting at most ``timeout_s`` seconds."""
     now = trio.current_time()
     limit = WaitLimit(now + timeout_s, now + timeout_s)
     return await pool.acquire(of or session(), priority, now, limit)
@@ -112,7 +112,7 @@
 
 
 class TestFullEndpoint:
-    """An endpoint still holds the connections of boxes that lost power."""
+    """A statement must get a connection that becomes free within its latency goal."""
 
     def test_a_statement_gets_the_place_that_comes_free_within_its_goal(self) -> None:
         async def scenario() -> None:
@@ -202,7 +202,7 @@
             taken = [await acquire(pool) for _ in range(3)]
             for connection in taken:
                 connection.release()
-            # One statement at a time, each on the connection used last.
+            # One statement at a time, each on the most recently used connection.
             for _ in range(10):
                 await trio.sleep(EXTRA_IDLE_S / 4)
                 (await acquire(pool)).release()
@@ -214,7 +214,7 @@
 
 
 class TestSessionSetup:
-    """What is set on a connection before a caller's statement."""
+    """A statement must never run with another session's values or prepared names."""
 
     SHAPE = PreparedStatement(Access.READ, "q1")
 
@@ -277,7 +277,7 @@
 
 
 class TestWorkspaces:
-    """A connection names one workspace at its opening and runs nobody else's statements."""
+    """A connection must run statements of a single workspace only."""
 
     @staticmethod
     def of(name: str) -> Session:
--- a/wharftiller/tests/platform/test_connection_admission.py
+++ b/wharftiller/tests/platform/test_connection_admission.py
@@ -1,4 +1,4 @@
-"""Callers at the door of a box that has little room."""
+"""Tests of the connection limit of a box."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wharftiller.tests.platform.world import BoxProcess, Caller, World, run_in_world
 
 SMALL_LIMITS = BoxLimits(descriptors=160)
-"""Room for some sixty callers."""
+"""Limits that admit about sixty callers."""
 
 
 async def fill(world: World, box: BoxProcess) -> list[Caller]:
-    """Open sessions until one is refused."""
+    """Open sessions until one is refused; return the open ones."""
     callers: list[Caller] = []
     while True:
         caller, line = await world.knock(box, "primary")
@@ -79,7 +79,7 @@
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
     def test_connections_that_say_nothing_leave_first(self) -> None:
-        """Those that rest keep their sessions."""
+        """Idle sessions must not be shed while connections without a handshake remain."""
 
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
--- a/wharftiller/tests/platform/test_gateways.py
+++ b/wharftiller/tests/platform/test_gateways.py
@@ -1,4 +1,4 @@
-"""More boxes than an endpoint has connections: a few homes run the statements of all."""
+"""Forwarding to gateways when an endpoint accepts fewer connections than there are boxes."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def run_scarce(scenario: Callable[[World], Awaitable[None]], **changes: Any) -> None:
-    """Run ``scenario`` where endpoints take fewer connections than two a box."""
+    """Run ``scenario`` with endpoints that accept fewer than two connections per box."""
 
     async def run_settled(world: World) -> None:
-        # Every box has read the list of all boxes again.
+        # By then every box has read the complete list of boxes.
         await trio.sleep(SHARED_READ_S)
         await scenario(world)
 
@@ -28,7 +28,7 @@
 
 
 def gateway_of(world: World, centre: str) -> BoxProcess:
-    """Return the box that runs the statements of one data centre."""
+    """Return the gateway of one data centre."""
     near = [box for box in world.boxes.values() if box.process.proxy.state.data_centre == centre]  # type: ignore[union-attr]
     gateways = [box for box in near if box.process.proxy.state.serves_group("seats")]  # type: ignore[union-attr]
     assert len(gateways) == 1
@@ -36,7 +36,7 @@
 
 
 def others_in(world: World, centre: str) -> list[BoxProcess]:
-    """Return the boxes of a data centre that pass their statements on."""
+    """Return the boxes of a data centre that forward their statements."""
     gateway = gateway_of(world, centre)
     return [
         box
@@ -163,7 +163,7 @@
             assert (await caller.line() or "").startswith("ERROR INDOUBT ")
             assert trio.current_time() - started < 0.8
             assert (await caller.line() or "").startswith("READY I ")
-            # Its own writes may be there: from now on it reads from the primary.
+            # The write may have been committed, so later reads go to the primary.
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
         run_scarce(scenario)
--- a/wharftiller/tests/platform/test_load_peaks.py
+++ b/wharftiller/tests/platform/test_load_peaks.py
@@ -1,4 +1,4 @@
-"""More statements than a group's primary can run while its replicas lag: what callers get."""
+"""Tests of load peaks beyond a primary's capacity while its replicas lag."""
 
 from __future__ import annotations
 
@@ -21,28 +21,27 @@
 SLOTS = 5
 WORK_S = 0.02
 GOAL_S = 0.25
-"""Latency goal of every route of the world, in seconds."""
+"""Latency goal of every route, in seconds."""
 
 PEAK_S = 8.0
 MAX_TRIES = 3
-"""A caller's first try and two more."""
-
+"""Attempts of a caller, including the first."""
 
 URGENT, ORDINARY = "primary", "read_own_writes"
-"""Kinds of route: the first goes before the second."""
+"""Kinds of route; the first has priority."""
 
 PRIMARY_CAPACITY = SLOTS / WORK_S * PEAK_S
-"""Statements that the primary can run while the crest lasts."""
+"""Statements that the primary can run during the peak."""
 
 
 @attrs.define
 class LoadPeak:
-    """Callers that come at random and come back when told, twice at most.
+    """Callers that arrive at random and retry after the time in a refusal.
 
     Attributes
     ----------
     outcomes : dict
-        What came of them, by the kind of their route.
+        Counts of outcomes by kind of route.
     """
 
     world: World
@@ -52,7 +51,7 @@
     rng: random.Random = attrs.field(factory=lambda: random.Random(7))
 
     async def run(self, kind: str, load: float) -> None:
-        """Have callers come for ``load`` times what the primary can run; return at their end."""
+        """Start callers at ``load`` times the primary's capacity; return when all have ended."""
         boxes = list(self.world.boxes.values())
         async with trio.open_nursery() as nursery:
             until = trio.current_time() + PEAK_S
@@ -75,7 +74,7 @@
 
 
 def run_peaks(**loads: float) -> dict[str, collections.Counter[str]]:
-    """Return what came of callers that ask for these parts of what the primary can run."""
+    """Return the outcomes of load peaks, given as multiples of the primary's capacity."""
     outcomes: dict[str, collections.Counter[str]] = {}
 
     async def scenario(world: World) -> None:
@@ -101,24 +100,24 @@
 
 class TestLoadPeaks:
     def test_what_fits_is_in_goal(self) -> None:
-        """Of 1,637 callers 879 in goal -> 1,629."""
+        """Guards against refusals and late replies within the primary's capacity."""
         outcomes = run_peaks(read_own_writes=0.8)[ORDINARY]
         assert outcomes["in goal"] >= 0.98 * outcomes.total()
 
     def test_beyond_it_half_of_what_can_be_run_is_in_goal(self) -> None:
-        """Of 2,640 callers 1,157 in goal -> 1,314, 960 refused -> 306."""
+        """Guards against a collapse of goodput beyond the primary's capacity."""
         outcomes = run_peaks(read_own_writes=1.3)[ORDINARY]
         assert outcomes["in goal"] >= 0.5 * PRIMARY_CAPACITY
 
     def test_a_crest_of_others_leaves_the_urgent_served(self) -> None:
-        """Of the others 494 to 533 of 2,000 in goal -> 818 to 832; of the urgent all -> 0.96."""
+        """Guards against loss of urgent statements, and starvation of others, in a peak of others."""
         outcomes = run_peaks(primary=0.25, read_own_writes=1.2)
         assert outcomes[URGENT]["refused"] <= 0.03 * outcomes[URGENT].total()
         assert outcomes[URGENT]["in goal"] >= 0.9 * outcomes[URGENT].total()
         assert outcomes[ORDINARY]["in goal"] >= 0.25 * PRIMARY_CAPACITY
 
     def test_a_crest_of_the_urgent_does_not_starve_the_others(self) -> None:
-        """Of the urgent 787 of 1,616 in goal -> 1,462 to 1,509 of 1,650."""
+        """Guards against starvation of ordinary statements in a peak of urgent ones."""
         outcomes = run_peaks(primary=0.8, read_own_writes=0.4)
         assert outcomes[URGENT]["refused"] <= 0.03 * outcomes[URGENT].total()
         assert outcomes[ORDINARY]["refused"] <= 0.75 * outcomes[ORDINARY].total()
--- a/wharftiller/tests/platform/test_reads.py
+++ b/wharftiller/tests/platform/test_reads.py
@@ -1,4 +1,4 @@
-"""Where reads run, and that none is older than its route allows."""
+"""Tests of read routing and of the staleness bounds of routes."""
 
 from __future__ import annotations
 
