--- a/wharftiller/tests/daemons/sessions/connections/test_pool.py
+++ b/wharftiller/tests/daemons/sessions/connections/test_pool.py
@@ -114,7 +114,7 @@
 class TestFullEndpoint:
     """A statement must get a connection that becomes free within its latency goal."""
 
-    def test_a_statement_gets_the_place_that_comes_free_within_its_goal(self) -> None:
+    def test_a_statement_gets_a_connection_freed_within_its_goal(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=0)
             pool = make_pool(dialer)
@@ -126,7 +126,7 @@
 
         run(scenario)
 
-    def test_one_that_cannot_be_served_in_time_is_refused_at_once(self) -> None:
+    def test_a_statement_that_cannot_run_in_time_is_refused_at_once(self) -> None:
         async def scenario() -> None:
             pool = make_pool(FakeDialer(free=0))
             timeout_s = REFUSED_PAUSE_S / 2
@@ -145,7 +145,7 @@
 
         run(scenario)
 
-    def test_those_who_wait_ask_the_endpoint_once_a_pause_not_once_each(self) -> None:
+    def test_waiting_statements_retry_the_endpoint_once_per_pause(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=0)
             pool = make_pool(dialer)
@@ -162,7 +162,7 @@
 
         run(scenario)
 
-    def test_the_more_urgent_goes_first(self) -> None:
+    def test_urgent_statements_go_first(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=0)
             pool = make_pool(dialer)
@@ -181,7 +181,7 @@
 
         run(scenario)
 
-    def test_a_place_that_comes_free_serves_beside_a_transaction_that_rests(self) -> None:
+    def test_a_freed_connection_is_used_beside_an_idle_transaction(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=1)
             pool = make_pool(dialer)
@@ -195,7 +195,7 @@
 
 
 class TestIdleConnections:
-    def test_connections_beyond_the_share_go_once_they_are_not_needed(self) -> None:
+    def test_connections_beyond_the_share_close_when_idle(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=16)
             pool = make_pool(dialer)
@@ -225,7 +225,7 @@
         assert isinstance(link, FakeConnection)
         return connection, link
 
-    def test_all_of_it_goes_in_one_write(self) -> None:
+    def test_session_setup_is_sent_in_one_write(self) -> None:
         async def scenario() -> None:
             connection, link = await self.connection()
             connection.values["zone"] = "north"
@@ -264,7 +264,7 @@
 
         run(scenario)
 
-    def test_what_is_set_says_nothing_of_how_long_work_takes(self) -> None:
+    def test_session_setup_does_not_change_the_service_time(self) -> None:
         async def scenario() -> None:
             connection, _ = await self.connection()
             before = connection.pool.row.service_s
@@ -283,7 +283,7 @@
     def of(name: str) -> Session:
         return Session(1, "seats-db", "", Workspace(name))
 
-    def test_nobody_gets_anothers_connection(self) -> None:
+    def test_a_workspace_gets_only_its_own_connections(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=16)
             pool = make_pool(dialer, share=4)
@@ -296,7 +296,7 @@
 
         run(scenario)
 
-    def test_where_no_more_may_be_open_the_one_idle_longest_makes_room(self) -> None:
+    def test_the_longest_idle_connection_is_replaced_at_the_limit(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=16)
             pool = make_pool(dialer)
@@ -312,7 +312,7 @@
 
         run(scenario)
 
-    def test_a_full_endpoint_that_holds_idle_ones_of_ours_is_no_reason_to_wait(self) -> None:
+    def test_an_idle_connection_of_another_workspace_is_replaced_at_once(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=1)
             pool = make_pool(dialer)
@@ -324,7 +324,7 @@
 
         run(scenario)
 
-    def test_this_boxs_own_statements_run_on_anybodys(self) -> None:
+    def test_statements_of_the_box_run_on_connections_of_any_workspace(self) -> None:
         async def scenario() -> None:
             dialer = FakeDialer(free=16)
             pool = make_pool(dialer)
@@ -334,7 +334,7 @@
 
         run(scenario)
 
-    def test_a_workspace_that_waits_gets_the_place_that_another_gives_back(self) -> None:
+    def test_a_waiting_workspace_replaces_a_released_connection(self) -> None:
         async def scenario() -> None:
             pool = make_pool(FakeDialer(free=3))
             taken = [await acquire(pool, of=self.of("rila")) for _ in range(3)]
--- a/wharftiller/tests/platform/test_connection_admission.py
+++ b/wharftiller/tests/platform/test_connection_admission.py
@@ -51,7 +51,7 @@
 
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
-    def test_who_rests_longest_leaves_for_a_newcomer(self) -> None:
+    def test_the_longest_idle_session_is_shed_for_a_new_one(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             callers = await fill(world, box)
@@ -64,7 +64,7 @@
 
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
-    def test_nobody_in_a_transaction_leaves_for_a_newcomer(self) -> None:
+    def test_a_session_in_a_transaction_is_not_shed(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             booking = await world.call(box, "primary")
@@ -78,7 +78,7 @@
 
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
-    def test_connections_that_say_nothing_leave_first(self) -> None:
+    def test_connections_without_a_handshake_are_shed_first(self) -> None:
         """Idle sessions must not be shed while connections without a handshake remain."""
 
         async def scenario(world: World) -> None:
@@ -94,7 +94,7 @@
 
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
-    def test_a_crowd_refused_is_told_in_few_lines_and_counted(self) -> None:
+    def test_refused_connections_are_logged_in_few_lines_and_counted(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             callers = await fill(world, box)
@@ -114,7 +114,7 @@
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
     @pytest.mark.parametrize("descriptors", [700, 1_640, 4_300])
-    def test_a_box_takes_hundreds_whatever_its_limit(self, descriptors: int) -> None:
+    def test_a_box_accepts_hundreds_of_connections_at_any_limit(self, descriptors: int) -> None:
         async def scenario(world: World) -> None:
             for _ in range(250):
                 await world.call(world.boxes["box-1"], "primary")
--- a/wharftiller/tests/platform/test_gateways.py
+++ b/wharftiller/tests/platform/test_gateways.py
@@ -65,7 +65,7 @@
 
         run_scarce(scenario)
 
-    def test_an_answer_passed_on_is_the_endpoints_own(self) -> None:
+    def test_a_forwarded_reply_is_the_endpoints_own(self) -> None:
         async def scenario(world: World) -> None:
             caller = await world.call(others_in(world, "a")[0], "read_own_writes")
             written = await caller.ask("WRITE seat7 anna", "id-1")
@@ -75,7 +75,7 @@
 
         run_scarce(scenario, lag_s=0.3)
 
-    def test_values_and_prepared_names_go_with_the_statement(self) -> None:
+    def test_values_and_prepared_names_are_forwarded_with_the_statement(self) -> None:
         async def scenario(world: World) -> None:
             box, other = others_in(world, "a")
             one, two = await world.call(box, "primary"), await world.call(other, "primary")
@@ -125,7 +125,7 @@
 
         run_scarce(scenario)
 
-    def test_when_a_home_is_killed_another_serves(self) -> None:
+    def test_when_a_gateway_is_killed_another_serves(self) -> None:
         async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
             caller = await world.call(box, "primary")
@@ -138,7 +138,7 @@
 
         run_scarce(scenario)
 
-    def test_a_box_runs_statements_itself_when_all_homes_beside_it_are_lost(self) -> None:
+    def test_a_box_runs_statements_itself_when_all_gateways_near_it_are_lost(self) -> None:
         async def scenario(world: World) -> None:
             box, other = others_in(world, "a")
             caller = await world.call(box, "primary")
@@ -150,7 +150,7 @@
 
         run_scarce(scenario)
 
-    def test_a_write_is_unknown_when_its_home_goes_dark_under_it(self) -> None:
+    def test_a_write_is_unknown_when_its_gateway_becomes_unreachable(self) -> None:
         async def scenario(world: World) -> None:
             world.groups[0].work_s = 0.3
             box = others_in(world, "a")[0]
@@ -168,7 +168,7 @@
 
         run_scarce(scenario)
 
-    def test_a_read_goes_to_another_home_when_its_home_goes_dark(self) -> None:
+    def test_a_read_goes_to_another_gateway_when_its_gateway_is_unreachable(self) -> None:
         async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
             caller = await world.call(box, "bounded_staleness")
@@ -179,7 +179,7 @@
 
         run_scarce(scenario)
 
-    def test_a_planned_stop_of_a_home_cuts_no_statement(self) -> None:
+    def test_a_planned_stop_of_a_gateway_refuses_no_statement(self) -> None:
         async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
             callers = [await world.call(box, "primary") for _ in range(4)]
@@ -202,7 +202,7 @@
 
         run_scarce(scenario)
 
-    def test_a_dark_primary_is_replaced_by_its_homes(self) -> None:
+    def test_a_dead_primary_is_replaced_by_its_gateways(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(others_in(world, "c")[0], "primary")
--- a/wharftiller/tests/platform/test_load_peaks.py
+++ b/wharftiller/tests/platform/test_load_peaks.py
@@ -99,24 +99,24 @@
 
 
 class TestLoadPeaks:
-    def test_what_fits_is_in_goal(self) -> None:
+    def test_load_within_capacity_is_served_within_its_goal(self) -> None:
         """Guards against refusals and late replies within the primary's capacity."""
         outcomes = run_peaks(read_own_writes=0.8)[ORDINARY]
         assert outcomes["in goal"] >= 0.98 * outcomes.total()
 
-    def test_beyond_it_half_of_what_can_be_run_is_in_goal(self) -> None:
+    def test_half_of_capacity_is_served_within_its_goal_under_overload(self) -> None:
         """Guards against a collapse of goodput beyond the primary's capacity."""
         outcomes = run_peaks(read_own_writes=1.3)[ORDINARY]
         assert outcomes["in goal"] >= 0.5 * PRIMARY_CAPACITY
 
-    def test_a_crest_of_others_leaves_the_urgent_served(self) -> None:
-        """Guards against loss of urgent statements, and starvation of others, in a peak of others."""
+    def test_a_peak_of_ordinary_statements_leaves_urgent_ones_served(self) -> None:
+        """Guards against loss of urgent statements in a peak of ordinary ones."""
         outcomes = run_peaks(primary=0.25, read_own_writes=1.2)
         assert outcomes[URGENT]["refused"] <= 0.03 * outcomes[URGENT].total()
         assert outcomes[URGENT]["in goal"] >= 0.9 * outcomes[URGENT].total()
         assert outcomes[ORDINARY]["in goal"] >= 0.25 * PRIMARY_CAPACITY
 
-    def test_a_crest_of_the_urgent_does_not_starve_the_others(self) -> None:
+    def test_a_peak_of_urgent_statements_does_not_starve_ordinary_ones(self) -> None:
         """Guards against starvation of ordinary statements in a peak of urgent ones."""
         outcomes = run_peaks(primary=0.8, read_own_writes=0.4)
         assert outcomes[URGENT]["refused"] <= 0.03 * outcomes[URGENT].total()
--- a/wharftiller/tests/platform/test_reads.py
+++ b/wharftiller/tests/platform/test_reads.py
@@ -22,7 +22,7 @@
 
         run_in_world(scenario)
 
-    def test_a_deaf_replica_never_answers_too_old_a_read(self) -> None:
+    def test_a_replica_that_receives_nothing_never_answers_too_old_a_read(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
             for replica in group.servers[1:]:
@@ -44,7 +44,7 @@
 
         run_in_world(scenario, groups=[make_group(lag_s=0.2)])
 
-    def test_a_slow_read_is_left_to_end_where_no_other_endpoint_can_run_it(self) -> None:
+    def test_a_slow_read_continues_when_no_other_endpoint_can_run_it(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
             writer = await world.call(world.boxes["box-1"], "primary")
@@ -62,7 +62,7 @@
 
         run_in_world(scenario)
 
-    def test_a_slow_read_is_given_up_for_another_endpoint(self) -> None:
+    def test_a_slow_read_is_retried_on_another_endpoint(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
             reader = await world.call(world.boxes["box-1"], "bounded_staleness")
