--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -110,7 +110,7 @@
         """Lower the concurrency limit after the endpoint was too busy for a statement."""
         self._limit.busy(self._running, trio.current_time())
 
-    def note_answered(self) -> None:
+    def record_answer(self) -> None:
         """Record an answer; wake the next waiter if the concurrency limit rose."""
         before = self._limit.places(self.share() + EXTRA_CONNECTIONS)
         self._limit.answered()
@@ -213,7 +213,7 @@
     def _expected_wait_s(self, key: QueueKey) -> float:
         """Return the minimum time until the statement with ``key`` may run, in seconds."""
         places = max(1, self._limit.places(self.share() + EXTRA_CONNECTIONS))
-        queue_s = (self._queue.ahead(key) + 1) * self.row.service_s / places
+        queue_s = (self._queue.count_ahead(key) + 1) * self.row.service_s / places
         if self._all:
             return queue_s
         return queue_s + max(0.0, self._refused_until - trio.current_time())
@@ -223,7 +223,7 @@
 
         Parameters
         ----------
-        begun : bool
+        has_waited : bool
             Whether the statement has waited before; it may then wait until its last deadline.
 
         Raises
@@ -232,13 +232,13 @@
             If no connection is free in time, or the expected wait is too long.
         """
         expected_s = self._expected_wait_s(key)
-        latest = limit.until if has_waited else limit.begun_until
-        if trio.current_time() + expected_s > latest:
+        deadline = limit.until if has_waited else limit.begun_until
+        if trio.current_time() + expected_s > deadline:
             detail = f"the queue for {self.row.name} takes {expected_s:.2f} s"
             raise EndpointRefusedError(
                 detail, at_limit=True, queue_s=expected_s if self._all else None
             )
-        waiter = self._queue.join(key)
+        waiter = self._queue.add(key)
         try:
             with trio.move_on_at(limit.until):
                 await self._wait_until_woken(waiter)
--- a/wharftiller/daemons/sessions/connections/pooled_connection.py
+++ b/wharftiller/daemons/sessions/connections/pooled_connection.py
@@ -74,7 +74,7 @@
         if reply.refusal is not None and reply.refusal.kind is RefusalKind.NO_CAPACITY:
             self.pool.note_busy()
         else:
-            self.pool.note_answered()
+            self.pool.record_answer()
         return attrs.evolve(reply, endpoint=self.pool.row.name)
 
     async def take_on(
--- a/wharftiller/daemons/sessions/connections/probes.py
+++ b/wharftiller/daemons/sessions/connections/probes.py
@@ -58,17 +58,17 @@
         while True:
             await trio.sleep(PROBE_S)
             now = trio.current_time()
-            leads = {self._state.lead(group) for group in self._state.leases.record.groups}
+            primaries = {self._state.lead(group) for group in self._state.leases.record.groups}
             for row in list(self._state.endpoints.rows.values()):
-                if (row.gone and row.name not in leads) or row.name in self._probing:
+                if (row.gone and row.name not in primaries) or row.name in self._probing:
                     continue
                 if not self._state.serves_group(row.entry.group):
                     # Probed by its gateways: its connections are scarce.
                     continue
-                is_quiet_primary = row.name in leads and self._lacks_contact(row, now)
+                is_quiet_primary = row.name in primaries and self._lacks_contact(row, now)
                 if row.is_suspect(now) or is_quiet_primary:
                     self._probing.add(row.name)
-                    self._nursery.start_soon(self._probe, row, row.name in leads)
+                    self._nursery.start_soon(self._probe, row, row.name in primaries)
                 elif self._state.endpoints.relay_for(row) is not None:
                     self._probing.add(row.name)
                     self._nursery.start_soon(self._try_direct, row)
@@ -104,14 +104,14 @@
         except (ExchangeError, EndpointRefusedError) as error:
             self._state.log.event("no_status", endpoint=row.name, why=str(error))
 
-    async def _probe(self, row: EndpointRow, leads: bool) -> None:
+    async def _probe(self, row: EndpointRow, is_primary: bool) -> None:
         unreachable_before = row.unreachable_since
         try:
             await self.status(row)
         except (ExchangeError, EndpointRefusedError) as error:
             if unreachable_before is None:
                 self._state.log.event("endpoint_silent", endpoint=row.name, why=str(error))
-            if leads:
+            if is_primary:
                 self._switch_relay(row)
         else:
             if unreachable_before is not None:
--- a/wharftiller/daemons/sessions/connections/wait_queue.py
+++ b/wharftiller/daemons/sessions/connections/wait_queue.py
@@ -50,11 +50,11 @@
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def ahead(self, key: QueueKey) -> int:
+    def count_ahead(self, key: QueueKey) -> int:
         """Return how many waiters go before ``key``."""
         return sum(1 for each in self._waiters if each.key < key)
 
-    def join(self, key: QueueKey) -> Waiter:
+    def add(self, key: QueueKey) -> Waiter:
         """Add a waiter with ``key``."""
         waiter = Waiter(key)
         heapq.heappush(self._waiters, waiter)
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -172,7 +172,7 @@
             self._mark_lost(link, "it has outstanding statements and does not answer a probe")
 
     def _mark_lost(self, link: _GatewayLink, why: str) -> None:
-        self._gateways.avoid(link.box.name)
+        self._gateways.skip(link.box.name)
         self._state.log.event("home_lost", other=link.box.name, owed=len(link.outstanding), why=why)
         link.lost = True
         for scope in link.outstanding:
@@ -180,7 +180,7 @@
 
     async def leave(self, name: str, for_s: float) -> None:
         """Send no new statements to a box that is stopping, for ``for_s`` seconds."""
-        self._gateways.avoid(name, for_s)
+        self._gateways.skip(name, for_s)
         link = self._links.get(name)
         if link is not None:
             await link.pool.aclose()
--- a/wharftiller/daemons/sessions/forwarding/gateways.py
+++ b/wharftiller/daemons/sessions/forwarding/gateways.py
@@ -156,7 +156,7 @@
         """Record that a gateway has a lease."""
         self._lease_missing_until.pop(name, None)
 
-    def avoid(self, name: str, for_s: float = AVOIDED_S) -> None:
+    def skip(self, name: str, for_s: float = AVOIDED_S) -> None:
         """Skip a box for ``for_s`` seconds: it is unresponsive or stopping."""
         self._skipped_until[name] = trio.current_time() + for_s
         self._cached_until = -math.inf
--- a/wharftiller/tests/daemons/sessions/connections/test_pool.py
+++ b/wharftiller/tests/daemons/sessions/connections/test_pool.py
@@ -67,12 +67,12 @@
 
     def __init__(self, free: int) -> None:
         self.free = free
-        self.asked = 0
+        self.open_attempts = 0
 
     async def open(
         self, entry: EndpointEntry, via: str | None = None, workspace: str = ""
     ) -> FakeConnection:
-        self.asked += 1
+        self.open_attempts += 1
         await trio.sleep(OPEN_S)
         if not self.free:
             raise EndpointRefusedError("full", at_limit=True)
@@ -157,8 +157,8 @@
             async with trio.open_nursery() as nursery:
                 for _ in range(30):
                     nursery.start_soon(ask)
-            first_together = 3
-            assert dialer.asked <= first_together + GOAL_S / REFUSED_PAUSE_S
+            max_at_once = 3
+            assert dialer.open_attempts <= max_at_once + GOAL_S / REFUSED_PAUSE_S
 
         run(scenario)
 
@@ -292,7 +292,7 @@
                 assert connection.workspace == name
                 connection.release()
             assert pool.total == 2
-            assert dialer.asked == 2
+            assert dialer.open_attempts == 2
 
         run(scenario)
 
@@ -302,13 +302,13 @@
             pool = make_pool(dialer)
             for name in ("rila", "vitosha", "pirin"):
                 (await acquire(pool, of=self.of(name))).release()
-            most = pool.total
+            total_before = pool.total
             (await acquire(pool, of=self.of("rodopi"))).release()
-            assert pool.total == most == 1 + EXTRA_CONNECTIONS
+            assert pool.total == total_before == 1 + EXTRA_CONNECTIONS
             assert pool.counts.replaced == 1
-            asked = dialer.asked
+            open_attempts = dialer.open_attempts
             (await acquire(pool, of=self.of("vitosha"))).release()
-            assert dialer.asked == asked
+            assert dialer.open_attempts == open_attempts
 
         run(scenario)
 
@@ -330,7 +330,7 @@
             pool = make_pool(dialer)
             (await acquire(pool, of=self.of("rila"))).release()
             (await pool.acquire_for_box(0, GOAL_S)).release()
-            assert dialer.asked == 1
+            assert dialer.open_attempts == 1
 
         run(scenario)
 
--- a/wharftiller/tests/platform/test_gateways.py
+++ b/wharftiller/tests/platform/test_gateways.py
@@ -13,10 +13,10 @@
 from wharftiller.tests.platform.world import BoxProcess, Caller, World, make_group, run_in_world
 
 BOXES = 9
-SCARCE = 10
+MAX_CONNECTIONS = 10
 
 
-def run_scarce(scenario: Callable[[World], Awaitable[None]], **changes: Any) -> None:
+def run_with_few_connections(scenario: Callable[[World], Awaitable[None]], **changes: Any) -> None:
     """Run ``scenario`` with endpoints that accept fewer than two connections per box."""
 
     async def run_settled(world: World) -> None:
@@ -24,7 +24,9 @@
         await trio.sleep(SHARED_READ_S)
         await scenario(world)
 
-    run_in_world(run_settled, boxes=BOXES, groups=[make_group(max_connections=SCARCE, **changes)])
+    run_in_world(
+        run_settled, boxes=BOXES, groups=[make_group(max_connections=MAX_CONNECTIONS, **changes)]
+    )
 
 
 def gateway_of(world: World, centre: str) -> BoxProcess:
@@ -60,10 +62,10 @@
             async with trio.open_nursery() as nursery:
                 for number, caller in enumerate(callers):
                     nursery.start_soon(work, caller, number)
-            assert group.primary.connections <= SCARCE
-            assert group.primary.opened <= SCARCE
+            assert group.primary.connections <= MAX_CONNECTIONS
+            assert group.primary.opened <= MAX_CONNECTIONS
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     def test_a_forwarded_reply_is_the_endpoints_own(self) -> None:
         async def scenario(world: World) -> None:
@@ -73,7 +75,7 @@
             assert written[1] == f"COMPLETE {proof(primary, 'id-1', 'WRITE seat7 anna')}"
             assert (await caller.ask("READ seat7"))[0] == "ROW anna"
 
-        run_scarce(scenario, lag_s=0.3)
+        run_with_few_connections(scenario, lag_s=0.3)
 
     def test_values_and_prepared_names_are_forwarded_with_the_statement(self) -> None:
         async def scenario(world: World) -> None:
@@ -87,7 +89,7 @@
                 assert (await two.ask(f"EXECUTE s seat{number} x"))[0] == "ROW written"
                 assert "colour" not in (await two.ask("READ seat1"))[0]
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     def test_a_transaction_runs_whole_on_one_connection(self) -> None:
         async def scenario(world: World) -> None:
@@ -102,7 +104,7 @@
             assert (await caller.ask("ROLLBACK"))[-1].startswith("READY I")
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     @pytest.mark.parametrize("leaves", ["by closing", "with its box"])
     def test_a_transaction_whose_caller_is_gone_is_rolled_back(self, leaves: str) -> None:
@@ -123,7 +125,7 @@
             assert executor.count == 0
             assert world.groups[0].primary.log == []
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     def test_when_a_gateway_is_killed_another_serves(self) -> None:
         async def scenario(world: World) -> None:
@@ -136,7 +138,7 @@
                     await trio.sleep(0.05)
             assert (await caller.ask("READ seat1"))[0] == "ROW boris"
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     def test_a_box_runs_statements_itself_when_all_gateways_near_it_are_lost(self) -> None:
         async def scenario(world: World) -> None:
@@ -148,7 +150,7 @@
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
             assert (await caller.ask("WRITE seat1 boris"))[0] == "ROW written"
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     def test_a_write_is_unknown_when_its_gateway_becomes_unreachable(self) -> None:
         async def scenario(world: World) -> None:
@@ -166,7 +168,7 @@
             # The write may have been committed, so later reads go to the primary.
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     def test_a_read_goes_to_another_gateway_when_its_gateway_is_unreachable(self) -> None:
         async def scenario(world: World) -> None:
@@ -177,7 +179,7 @@
             world.network.cut([gateway.ip], [each.ip for each in world.boxes.values()])
             assert (await caller.ask("READ seat1"))[0] == "ROW none"
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     def test_a_planned_stop_of_a_gateway_refuses_no_statement(self) -> None:
         async def scenario(world: World) -> None:
@@ -200,7 +202,7 @@
                 gateway.told.set()
             assert refused == []
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
 
     def test_a_dead_primary_is_replaced_by_its_gateways(self) -> None:
         async def scenario(world: World) -> None:
@@ -214,4 +216,4 @@
                     await trio.sleep(0.1)
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_scarce(scenario)
+        run_with_few_connections(scenario)
