--- a/wharftiller/daemons/sessions/connections/relay.py
+++ b/wharftiller/daemons/sessions/connections/relay.py
@@ -88,7 +88,7 @@
             data += more
             if not more or len(data) > CHUNK_BYTES:
                 raise ExchangeError(
-                    "the stream ended, or is too long, before a whole relay request line"
+                    "received no whole relay request line; expected RELAY and an address"
                 )
         line, received = data.split(b"\r\n", 1)
         verb, _, address = line.decode("latin-1").partition(" ")
