--- a/wharftiller/daemons/sessions/connections/pooled_connection.py
+++ b/wharftiller/daemons/sessions/connections/pooled_connection.py
@@ -1,4 +1,4 @@
-"""One kept connection to an endpoint, and what is set on it."""
+"""A pooled connection to an endpoint, with its session state."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
     from wharftiller.daemons.sessions.connections.pool import EndpointPool
     from wharftiller.daemons.sessions.interfaces import EndpointConnection
 
-OwnStatement = ResetSession | SetValue | Prepare
-"""What a box runs for itself before a caller's statement."""
+SetupStatement = ResetSession | SetValue | Prepare
+"""Statements that set up a connection before a caller's statement."""
 
-PREPARED_KEPT = 200
-"""Prepared names kept on one connection before it is reset."""
+MAX_PREPARED = 200
+"""Maximum of prepared statements on one connection before it is reset."""
 
 
 @attrs.define(eq=False)
 class PooledConnection:
-    """A connection and what is known to be set on it.
+    """A connection and the session state that is set on it.
 
     Attributes
     ----------
     workspace : str
-        Whose statements alone it runs; empty for anybody's and this box's own.
+        Workspace whose statements it runs; empty if it was opened for none.
     via : str or None
-        Address of the box that it goes through.
+        Address of the box that relays it; None if it is direct.
     values : dict of str to str
-        Session values that are set on it.
+        Session values set on the endpoint.
     prepared : dict of PreparedStatement to str
-        The names that it knows prepared statements by.
+        Names of the statements prepared on the endpoint.
     broken : bool
         Whether it must not be used again.
-    asking : bool
+    is_busy : bool
         Whether a statement runs on it.
     """
 
@@ -60,10 +60,10 @@
     prepared: dict[PreparedStatement, str] = attrs.field(factory=dict)
     idle_since: float = 0.0
     broken: bool = False
-    asking: bool = False
+    is_busy: bool = False
 
     async def ask(self, query: EndpointQuery) -> Reply:
-        """Run one statement; the connection is useless unless an answer comes.
+        """Run one statement; without a reply the connection is marked broken.
 
         Raises
         ------
@@ -74,63 +74,67 @@
         if reply.refusal is not None and reply.refusal.kind is RefusalKind.NO_CAPACITY:
             self.pool.note_busy()
         else:
-            self.pool.note_answered()
+            self.pool.record_answer()
         return attrs.evolve(reply, endpoint=self.pool.row.name)
 
     async def take_on(
         self, session: Session, needed: PreparedStatement | None, *, may_reset: bool = True
     ) -> None:
-        """Give the connection the session's values and the prepared name that is needed.
+        """Set the session's values and prepare the statement that is needed.
 
-        The caller's own statement follows only once all of that was taken: else it could
-        run under another session's values.
+        The caller's statement is sent only after all replies, so that it never runs with
+        another session's values.
 
         Parameters
         ----------
         may_reset : bool
-            False inside a transaction, whose session can only have gained values.
+            False inside a transaction, where values are only ever added.
 
         Raises
         ------
         ExchangeError
-            If the connection breaks or the endpoint refuses one of them.
+            If the connection breaks or the endpoint refuses a setup statement.
         """
-        own = self._own_statements(session, needed, may_reset)
-        if own:
-            self._took(own, await self._exchange([EndpointQuery(body) for body in own]))
+        setup = self._setup_statements(session, needed, may_reset)
+        if setup:
+            self._apply_replies(
+                setup, await self._exchange([EndpointQuery(body) for body in setup])
+            )
 
     async def begin(self, session: Session, query: EndpointQuery) -> Reply:
-        """Give the connection the session's values and open a transaction, in one write.
+        """Set the session's values and open a transaction, in one write.
 
-        Opening one runs nothing of the caller's, so nothing is lost where a value is refused.
+        No statement of the caller runs yet, so a refused value has no effect on its data.
 
         Raises
         ------
         ExchangeError
             If the connection breaks or the endpoint refuses a value.
         """
-        own = self._own_statements(session, None, may_reset=True)
-        *taken, reply = await self._exchange([*(EndpointQuery(body) for body in own), query])
-        self._took(own, taken)
+        setup = self._setup_statements(session, None, may_reset=True)
+        *taken, reply = await self._exchange([*(EndpointQuery(body) for body in setup), query])
+        self._apply_replies(setup, taken)
         return attrs.evolve(reply, endpoint=self.pool.row.name)
 
-    def _own_statements(
+    def _setup_statements(
         self, session: Session, needed: PreparedStatement | None, may_reset: bool
-    ) -> list[OwnStatement]:
-        """Return what this box must run so that a statement of ``session`` may follow."""
-        own: list[OwnStatement] = []
+    ) -> list[SetupStatement]:
+        """Return the statements that set the connection up for ``session``."""
+        setup: list[SetupStatement] = []
         values, prepared = self.values, self.prepared
-        if may_reset and (values.keys() - session.values.keys() or len(prepared) > PREPARED_KEPT):
-            own.append(ResetSession())
+        if may_reset and (values.keys() - session.values.keys() or len(prepared) > MAX_PREPARED):
+            setup.append(ResetSession())
             values, prepared = {}, {}
-        own += [SetValue(n, value) for n, value in session.values.items() if values.get(n) != value]
+        setup += [
+            SetValue(n, value) for n, value in session.values.items() if values.get(n) != value
+        ]
         if needed is not None and needed not in prepared:
-            own.append(Prepare(f"p{len(prepared) + 1}", needed))
-        return own
+            setup.append(Prepare(f"p{len(prepared) + 1}", needed))
+        return setup
 
-    def _took(self, own: list[OwnStatement], replies: list[Reply]) -> None:
-        """Note what the endpoint took."""
-        for body, reply in zip(own, replies, strict=True):
+    def _apply_replies(self, setup: list[SetupStatement], replies: list[Reply]) -> None:
+        """Record the state that the endpoint has accepted."""
+        for body, reply in zip(setup, replies, strict=True):
             if reply.refusal is not None:
                 self.broken = True
                 raise ExchangeError(f"{self.pool.row.name} refused {body}: {reply.refusal}")
@@ -144,32 +148,32 @@
                     self.prepared[prepared] = name
 
     async def _exchange(self, queries: list[EndpointQuery]) -> list[Reply]:
-        """Send ``queries`` in one write and return all replies."""
+        """Send ``queries`` in one write and return their replies."""
         row = self.pool.row
         row.sent(self.number, trio.current_time())
-        done = False
-        self.asking = True
+        has_replies = False
+        self.is_busy = True
         try:
             replies = await self.link.ask(queries)
-            done = True
+            has_replies = True
         finally:
-            self.asking = False
+            self.is_busy = False
             self.pool.wake_next()
-            if not done:
+            if not has_replies:
                 self.broken = True
                 row.given_up(self.number, trio.current_time())
-        # What this box runs for itself takes no slot: it says nothing of how long work takes.
+        # Setup statements use no slot of the endpoint: their times are not service times.
         works = queries[-1].statement is not None
         row.answered(self.number, trio.current_time(), replies[-1].position, works=works)
         return replies
 
     def close(self) -> None:
-        """Close it and give its place to another."""
+        """Close the connection and wake the next waiter."""
         self.broken = True
         self.pool.release(self)
 
     def release(self, state: SessionState = SessionState.IDLE) -> None:
-        """Give it back; closed unless it stands outside any transaction."""
+        """Return it to the pool; it is closed unless ``state`` is idle."""
         if state is not SessionState.IDLE:
             self.broken = True
         self.pool.release(self)
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Pass statements to a group's home box, where this box keeps no connections to the group."""
+"""Forwarding of statements to a gateway box of their group."""
 
 from __future__ import annotations
 
@@ -34,73 +34,73 @@
     from wharftiller.daemons.sessions.state import SharedState
     from wharftiller.edges.forwarded_json import ForwardedReply
 
-GATEWAYS_TRIED = 3
-"""Homes that a statement is passed to, one after the other, before it is refused."""
+MAX_GATEWAYS_TRIED = 3
+"""Maximum of gateways that a statement is sent to, one after the other."""
 
 
 class _NotBegunError(Exception):
-    """The transaction did not begin at a home; another may be asked."""
+    """The transaction did not begin on a gateway; another one may be tried."""
 
 
-def _is_for_another(told: ForwardedReply, routed: RoutedStatement) -> bool:
-    """Return whether a home ran nothing because it lacks a lease that another may have.
+def _may_try_another(forwarded: ForwardedReply, routed: RoutedStatement) -> bool:
+    """Return whether a gateway ran nothing for lack of a lease that another one may have.
 
-    Where homes held the statement for its goal already, nobody is asked any more: in an outage
-    beside a cut none of them may have a lease.
+    False once the statement's latency goal has passed: during a partition no gateway may
+    have a lease.
     """
-    refusal = told.reply.refusal
+    refusal = forwarded.reply.refusal
     ran_nothing = refusal is not None and refusal.has_not_run
     in_time = trio.current_time() < routed.arrived_at + routed.route.latency_goal_s
-    return told.lacks_lease and ran_nothing and in_time
+    return forwarded.lacks_lease and ran_nothing and in_time
 
 
 class Forwarder:
-    """Has home boxes run the statements of groups that this box does not serve itself."""
+    """Forwards statements of groups that this box does not serve to their gateways."""
 
     def __init__(
         self,
         state: SharedState,
         gateways: Gateways,
         directory: BoxDirectory,
-        links: GatewayClient,
+        client: GatewayClient,
         nursery: trio.Nursery,
     ) -> None:
         self._state = state
         self._gateways = gateways
         self._directory = directory
-        self._links = links
+        self._client = client
         self._nursery = nursery
 
     async def single(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
     ) -> Reply | None:
-        """Return the answer to a statement outside any transaction; None if none is to be asked."""
+        """Forward an autocommit statement; return None if this box is to run it itself."""
         try:
             routed = route_statement(session, route, statement, arrived_at)
-            return await self._single(routed)
+            return await self._forward_autocommit(routed)
         except StatementRefusedError as error:
             return error.reply(statement, SessionState.IDLE)
 
-    async def _single(self, routed: RoutedStatement) -> Reply | None:
+    async def _forward_autocommit(self, routed: RoutedStatement) -> Reply | None:
         may_have_run = False
         why = "no box that serves it answers"
         refusal: Reply | None = None
         tried: set[str] = set()
         for gateway in self._gateways_to_try(routed.route.group, tried):
             try:
-                told = await self._ask(gateway, routed, self._message(routed))
-                if not _is_for_another(told, routed):
-                    return told.reply
-                refusal = told.reply
+                forwarded = await self._send(gateway, routed, self._build_message(routed))
+                if not _may_try_another(forwarded, routed):
+                    return forwarded.reply
+                refusal = forwarded.reply
             except NotSentError as error:
                 why = str(error)
             except ExchangeError as error:
                 why = str(error)
                 if routed.writes:
-                    raise self._unknown(routed, why) from error
+                    raise self._outcome_unknown(routed, why) from error
                 may_have_run = True
         if self._gateways.choose(routed.route.group, tried) is None:
-            # This box is a home, or the next one with those it asked gone.
+            # This box is a gateway, or becomes one without those that were tried.
             return refusal
         if refusal is not None:
             return refusal
@@ -114,7 +114,7 @@
         statement: Statement,
         arrived_at: float,
     ) -> Reply | None:
-        """Return the answer to a statement inside ``transaction``; None if none is to be asked."""
+        """Forward a statement of ``transaction``; return None if this box is to run it itself."""
         try:
             routed = route_statement(session, transaction.route, statement, arrived_at)
             reply = await self._in_transaction(routed, transaction)
@@ -136,18 +136,18 @@
             return await self._begin(routed, transaction)
         gateway = self._directory.boxes.get(remote.box)
         if gateway is None:
-            detail = f"{remote.box}, which ran the transaction, is gone"
+            detail = f"{remote.box}, which ran the transaction, is no longer listed"
             raise StatementRefusedError(RefusalKind.ROLLED_BACK, detail, Cause.BOX_LOST)
-        return await self._ask_transaction(gateway, routed, transaction)
+        return await self._send_in_transaction(gateway, routed, transaction)
 
     async def _begin(self, routed: RoutedStatement, transaction: OpenTransaction) -> Reply | None:
-        """Have a home begin the transaction with its first statement."""
+        """Begin the transaction on a gateway, with its first statement."""
         why = "no box that serves it answers"
         tried: set[str] = set()
         for gateway in self._gateways_to_try(routed.route.group, tried):
             transaction.remote = RemoteTransaction(gateway.name, secrets.token_hex(8))
             try:
-                return await self._ask_transaction(gateway, routed, transaction, begins=True)
+                return await self._send_in_transaction(gateway, routed, transaction, begins=True)
             except _NotBegunError as error:
                 transaction.remote = None
                 why = str(error)
@@ -155,7 +155,7 @@
             return None
         raise StatementRefusedError(RefusalKind.ROLLED_BACK, why, Cause.BOX_LOST)
 
-    async def _ask_transaction(
+    async def _send_in_transaction(
         self,
         gateway: Box,
         routed: RoutedStatement,
@@ -164,9 +164,9 @@
         begins: bool = False,
     ) -> Reply:
         assert transaction.remote is not None
-        commits = isinstance(routed.body, Commit)
+        is_commit = isinstance(routed.body, Commit)
         message = attrs.evolve(
-            self._message(routed),
+            self._build_message(routed),
             transaction=transaction.remote.identity,
             begins=begins,
             read_only=transaction.read_only,
@@ -175,7 +175,7 @@
         wrote_before = transaction.wrote
         transaction.wrote |= routed.writes
         try:
-            told = await self._ask(gateway, routed, message)
+            forwarded = await self._send(gateway, routed, message)
         except NotSentError as error:
             if begins:
                 transaction.wrote = wrote_before
@@ -184,15 +184,15 @@
                 RefusalKind.ROLLED_BACK, str(error), Cause.BOX_LOST
             ) from error
         except ExchangeError as error:
-            if commits and transaction.wrote:
-                raise self._unknown(routed, str(error)) from error
+            if is_commit and transaction.wrote:
+                raise self._outcome_unknown(routed, str(error)) from error
             raise StatementRefusedError(
                 RefusalKind.ROLLED_BACK, str(error), Cause.BOX_LOST
             ) from error
-        reply = told.reply
-        if begins and _is_for_another(told, routed):
+        reply = forwarded.reply
+        if begins and _may_try_another(forwarded, routed):
             transaction.wrote = wrote_before
-            raise _NotBegunError(f"{gateway.name} may not use the primary now")
+            raise _NotBegunError(f"{gateway.name} has no lease for the primary now")
         match reply.state:
             case SessionState.IDLE:
                 routed.session.transaction = None
@@ -204,12 +204,12 @@
         return reply
 
     def drop(self, session: Session, transaction: OpenTransaction) -> None:
-        """Forget ``transaction``; its home rolls it back."""
+        """Detach ``transaction`` from its session and roll it back."""
         session.transaction = None
         self.end_remote(transaction)
 
     def end_remote(self, transaction: OpenTransaction) -> None:
-        """Have the transaction's home roll it back, if one runs it."""
+        """Roll the transaction back on its gateway, if it has begun there."""
         remote, transaction.remote = transaction.remote, None
         if remote is not None:
             self._nursery.start_soon(self._send_end, remote)
@@ -219,26 +219,26 @@
         if gateway is None:
             return
         try:
-            await self._links.send_end(gateway, remote.identity)
+            await self._client.send_end(gateway, remote.identity)
         except ExchangeError as error:
-            # The home ends it by itself once it has rested for too long.
+            # The gateway rolls it back once it has been idle for too long.
             self._state.log.event("end_not_told", other=gateway.name, why=str(error))
 
-    # Asking a home ------------------------------------------------------
+    # Requests to a gateway ----------------------------------------------
 
     def _gateways_to_try(self, group: str, tried: set[str]) -> Iterator[Box]:
-        """Yield homes to ask one after the other, noting each in ``tried``.
+        """Yield gateways to try in turn, adding each to ``tried``.
 
-        Ends where this box is to run it itself.
+        Ends when this box is to run the statement itself.
         """
-        while len(tried) < GATEWAYS_TRIED:
+        while len(tried) < MAX_GATEWAYS_TRIED:
             gateway = self._gateways.choose(group, tried)
             if gateway is None:
                 return
             tried.add(gateway.name)
             yield gateway
 
-    def _message(self, routed: RoutedStatement) -> ForwardedStatement:
+    def _build_message(self, routed: RoutedStatement) -> ForwardedStatement:
         session = routed.session
         group = routed.route.group
         return ForwardedStatement(
@@ -253,30 +253,32 @@
             unsettled=group in session.unsettled,
         )
 
-    async def _ask(
+    async def _send(
         self, gateway: Box, routed: RoutedStatement, message: ForwardedStatement
     ) -> ForwardedReply:
-        """Return what the home told; raise as `GatewayClient.ask` does."""
-        told = await self._links.ask(gateway, message, routed.until + MARGIN_S)
-        self._take(routed, told, gateway)
-        return told
+        """Return the gateway's reply; raises as `GatewayClient.forward` does."""
+        forwarded = await self._client.forward(gateway, message, routed.until + MARGIN_S)
+        self._apply_reply(routed, forwarded, gateway)
+        return forwarded
 
-    def _take(self, routed: RoutedStatement, told: ForwardedReply, gateway: Box) -> None:
+    def _apply_reply(
+        self, routed: RoutedStatement, forwarded: ForwardedReply, gateway: Box
+    ) -> None:
         group = routed.route.group
         session = routed.session
-        if told.unsettled:
+        if forwarded.unsettled:
             session.unsettled.add(group)
-        elif told.own_write is not None:
-            session.wrote(group, told.own_write)
-        self._state.told_usable[group] = told.primary_usable
-        if told.lacks_lease:
-            self._gateways.note_lacking(gateway.name)
+        elif forwarded.own_write is not None:
+            session.wrote(group, forwarded.own_write)
+        self._state.told_usable[group] = forwarded.primary_usable
+        if forwarded.lacks_lease:
+            self._gateways.record_lease_missing(gateway.name)
         else:
-            self._gateways.note_able(gateway.name)
-        self._state.metrics.forwarded[gateway.name, told.reply.outcome] += 1
+            self._gateways.record_lease_present(gateway.name)
+        self._state.metrics.forwarded[gateway.name, forwarded.reply.outcome] += 1
 
     @staticmethod
-    def _unknown(routed: RoutedStatement, why: str) -> StatementRefusedError:
+    def _outcome_unknown(routed: RoutedStatement, why: str) -> StatementRefusedError:
         routed.session.unsettled.add(routed.route.group)
         detail = f"{why}; it may have been committed"
         return StatementRefusedError(RefusalKind.OUTCOME_UNKNOWN, detail)
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -1,4 +1,4 @@
-"""Pass statements to homes over kept connections, and notice homes that fall silent."""
+"""Client of gateway boxes, with detection of gateways that stop responding."""
 
 from __future__ import annotations
 
@@ -24,51 +24,50 @@
     from wharftiller.edges.transport import Transport
 
 CONNECT_TIMEOUT_S = 0.3
-"""Time to connect to a home, in seconds: one lost packet is sent again after 0.2 s."""
+"""Time-out for connecting to a gateway, in seconds: allows one retransmission after 0.2 s."""
 
-ANSWER_SLACK_S = 0.05
-"""Time beyond a statement's time-out that a home's answer may take to get here, in seconds."""
+REPLY_SLACK_S = 0.05
+"""Time beyond a statement's time-out for the gateway's reply to arrive, in seconds."""
 
-SILENT_S = 0.3
-"""Time for which a home may owe an answer before it is asked whether it lives, in seconds."""
+UNRESPONSIVE_S = 0.3
+"""Time without a reply after which a gateway with outstanding statements is probed, in seconds."""
 
-ALIVE_TIMEOUT_S = 0.25
-"""Time that it then has, in seconds: one lost packet is sent again after 0.2 s."""
+PROBE_TIMEOUT_S = 0.25
+"""Time-out of that probe, in seconds: allows one retransmission after 0.2 s."""
 
-WATCH_S = 0.1
-"""Time between looks at homes that owe answers, in seconds."""
+WATCH_POLL_S = 0.1
+"""Interval between checks of gateways with outstanding statements, in seconds."""
 
-
-REFUSED_UNREAD = (400, 404, 413)
-"""Answers to a question that was not understood: nothing of it was run."""
+NOT_RUN_STATUSES = (400, 404, 413)
+"""HTTP statuses of requests that were rejected unread: nothing was run."""
 
 
 class GatewayLostError(ExchangeError):
-    """The home stopped answering while it ran a statement."""
+    """The gateway stopped responding while it ran a statement."""
 
 
 @attrs.define(eq=False)
 class _GatewayLink:
-    """What this box knows of one home from passing statements to it.
+    """Connections to one gateway and its outstanding statements.
 
     Attributes
     ----------
     outstanding : dict
-        Scope of every statement that it has not answered, with the sending time.
-    asked_at : float
-        When it was last asked whether it lives, in seconds.
+        Cancel scope of each statement without a reply, with its sending time in seconds.
+    probed_at : float
+        Time of the last probe, in seconds.
     """
 
     box: Box
     pool: HttpPool
     outstanding: dict[trio.CancelScope, float] = attrs.field(factory=dict)
     last_contact_at: float = -math.inf
-    asked_at: float = -math.inf
+    probed_at: float = -math.inf
     lost: bool = False
 
 
 class GatewayClient:
-    """Connections of one box to homes, and what each home owes."""
+    """Sends statements to gateways and tracks those that are outstanding."""
 
     def __init__(
         self,
@@ -84,46 +83,52 @@
         self._transport = transport
         self._nursery = nursery
         self._links: dict[str, _GatewayLink] = {}
-        self._answers_owed = trio.Event()
+        self._has_outstanding = trio.Event()
 
-    async def ask(self, gateway: Box, message: ForwardedStatement, until: float) -> ForwardedReply:
-        """Return the home's reply to a statement that times out at ``until`` (seconds).
+    async def forward(
+        self, gateway: Box, message: ForwardedStatement, until: float
+    ) -> ForwardedReply:
+        """Return a gateway's reply to a statement that times out at ``until`` (seconds).
 
         Raises
         ------
         NotSentError
-            If the statement did not reach it, or it answered that it could not run it.
+            If the statement did not reach the gateway or was rejected unread.
         ExchangeError
-            If no usable answer came.
+            If no usable reply came: the statement may have run.
         """
         link = self._link(gateway)
         body = statement_to_json(message)
         with self._outstanding(link, until) as scope:
             try:
-                answer = await link.pool.post("/peer/run", body)
+                response = await link.pool.post("/peer/run", body)
             except NotSentError:
-                self._lose(link, "it takes no connection")
+                self._mark_lost(link, "it accepts no connection")
                 raise
         if scope.cancelled_caught:
             if link.lost:
-                raise GatewayLostError(f"{gateway.name}, which ran it, stopped answering")
+                raise GatewayLostError(f"{gateway.name}, which ran it, stopped responding")
             raise GatewayLostError(f"{gateway.name} did not answer in time")
         link.last_contact_at = trio.current_time()
-        if answer.status != 200:
-            detail = f"{gateway.name} could not run it: {answer.body[:80]!r}"
-            raise NotSentError(detail) if answer.status in REFUSED_UNREAD else ExchangeError(detail)
+        if response.status != 200:
+            detail = f"{gateway.name} could not run it: {response.body[:80]!r}"
+            raise (
+                NotSentError(detail)
+                if response.status in NOT_RUN_STATUSES
+                else ExchangeError(detail)
+            )
         try:
-            return reply_from_json(answer.json())
+            return reply_from_json(response.json())
         except BadRequestError as error:
             raise ExchangeError(str(error)) from error
 
     async def send_end(self, gateway: Box, transaction: str) -> None:
-        """Have a home roll a transaction back, if it takes the word in time.
+        """Ask a gateway to roll a transaction back; give up after `CONNECT_TIMEOUT_S`.
 
         Raises
         ------
         ExchangeError
-            If no answer came.
+            If the request fails.
         """
         with trio.move_on_after(CONNECT_TIMEOUT_S):
             await self._link(gateway).pool.post("/peer/end", {"transaction": transaction})
@@ -137,45 +142,45 @@
 
     @contextmanager
     def _outstanding(self, link: _GatewayLink, until: float) -> Iterator[trio.CancelScope]:
-        """Note that ``link`` owes an answer; cancelled when it is lost or time is out."""
+        """Track an outstanding statement; cancelled on time-out or when ``link`` is lost."""
         link.lost = False
-        with trio.CancelScope(deadline=until + ANSWER_SLACK_S) as scope:
+        with trio.CancelScope(deadline=until + REPLY_SLACK_S) as scope:
             link.outstanding[scope] = trio.current_time()
-            self._answers_owed.set()
+            self._has_outstanding.set()
             try:
                 yield scope
             finally:
                 del link.outstanding[scope]
 
     async def watch_for_ever(self) -> None:
-        """Find homes that owe answers and do not live; what they owe is given up at once."""
+        """Probe unresponsive gateways; cancel the outstanding statements of lost ones."""
         while True:
-            await self._answers_owed.wait()
-            await trio.sleep(WATCH_S)
+            await self._has_outstanding.wait()
+            await trio.sleep(WATCH_POLL_S)
             now = trio.current_time()
             for link in list(self._links.values()):
                 oldest = min(link.outstanding.values(), default=now)
-                since = max(oldest, link.last_contact_at, link.asked_at)
-                if now - since > SILENT_S:
-                    link.asked_at = now
-                    self._nursery.start_soon(self._ask_alive, link)
+                since = max(oldest, link.last_contact_at, link.probed_at)
+                if now - since > UNRESPONSIVE_S:
+                    link.probed_at = now
+                    self._nursery.start_soon(self._probe, link)
             if not any(link.outstanding for link in self._links.values()):
-                self._answers_owed = trio.Event()
+                self._has_outstanding = trio.Event()
 
-    async def _ask_alive(self, link: _GatewayLink) -> None:
-        if not await self._directory.is_alive(link.box, ALIVE_TIMEOUT_S):
-            self._lose(link, "it owes answers and does not say that it lives")
+    async def _probe(self, link: _GatewayLink) -> None:
+        if not await self._directory.is_alive(link.box, PROBE_TIMEOUT_S):
+            self._mark_lost(link, "it has outstanding statements and does not answer a probe")
 
-    def _lose(self, link: _GatewayLink, why: str) -> None:
-        self._gateways.avoid(link.box.name)
+    def _mark_lost(self, link: _GatewayLink, why: str) -> None:
+        self._gateways.skip(link.box.name)
         self._state.log.event("home_lost", other=link.box.name, owed=len(link.outstanding), why=why)
         link.lost = True
         for scope in link.outstanding:
             scope.cancel()
 
     async def leave(self, name: str, for_s: float) -> None:
-        """Pass nothing new to a box that is stopping."""
-        self._gateways.avoid(name, for_s)
+        """Send no new statements to a box that is stopping, for ``for_s`` seconds."""
+        self._gateways.skip(name, for_s)
         link = self._links.get(name)
         if link is not None:
             await link.pool.aclose()
