--- a/wharftiller/daemons/__init__.py
+++ b/wharftiller/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""The daemons: a core composed with its edges."""
+"""The daemons: each connects a core to its edges."""
--- a/wharftiller/daemons/admin.py
+++ b/wharftiller/daemons/admin.py
@@ -1,4 +1,4 @@
-"""The admin daemon: intents become plans, plans become configuration once confirmed."""
+"""The admin daemon: turns operators' intents into plans and applies confirmed plans."""
 
 from __future__ import annotations
 
@@ -37,23 +37,23 @@
 from wharftiller.logs import component_log
 from wharftiller.settings import Settings
 
-CONFIRM_TRIES = 2
-OVERTAKERS_NAMED = 5
+MAX_CONFIRM_ATTEMPTS = 2
+MAX_CHANGES_NAMED = 5
 MAX_DIFFERENCES = 200
 
 
 @attrs.frozen
 class Plan:
-    """What an intent would change; kept in the platform, it is also the audit entry.
+    """The changes an intent would make; stored in the platform, also as the audit entry.
 
     Attributes
     ----------
     base_generation : int
-        The generation it was made for.
+        Generation that the plan was made for.
     planned_at, expires_at, confirmed_at : float
-        Seconds since 1970; 0 when it has not been confirmed.
+        Seconds since 1970; ``confirmed_at`` is 0 until the plan is confirmed.
     generation : int
-        The generation it made; 0 until it is confirmed.
+        Generation that the plan created; 0 until it is confirmed.
     """
 
     plan: str
@@ -76,7 +76,7 @@
 
 
 class AdminDaemon:
-    """One admin.
+    """Serves the operators' HTTP interface.
 
     Parameters
     ----------
@@ -143,26 +143,26 @@
         self._settings.keys.check("operator", name, bearer(request.headers))
         if name not in self._settings.admin.operators:
             raise AuthenticationError(
-                f"operator {name!r} is not listed in 'admin.operators'. Have them added there"
+                f"operator {name!r} is not listed in 'admin.operators'. Add the name there"
             )
         return name
 
     # Plans --------------------------------------------------------------
 
     async def make_plan(self, body: Any, operator: str) -> Plan:
-        """Return the plan for an intent, kept in the platform.
+        """Make the plan of an intent and store it in the platform.
 
         Raises
         ------
         BadRequestError, ConfigurationError
-            If the intent cannot be read, or breaks a rule; every broken rule is told.
+            If the intent is malformed or breaks rules; the message names every broken rule.
         """
         intent = read_intent(body)
         stored = await self._store.load()
         now = self._wall_clock()
         name = f"{_day(now)}-{uuid.uuid4().hex[:12]}"
-        wanted = apply_intent(stored.configuration, intent, name)
-        faults = configuration_faults(wanted)
+        target = apply_intent(stored.configuration, intent, name)
+        faults = configuration_faults(target)
         if faults:
             raise ConfigurationError(" ".join(faults))
         plan = Plan(
@@ -170,7 +170,7 @@
             operator=operator,
             intent=body,
             base_generation=stored.head.generation,
-            differences=_differences(stored.configuration, wanted),
+            differences=_differences(stored.configuration, target),
             checks=["every rule of pools and groups holds", *_warnings(intent)],
             planned_at=now,
             expires_at=now + self._settings.admin.plan_expires_s,
@@ -182,56 +182,61 @@
     async def _read_plan(self, plan: str) -> tuple[Plan, StoredObject]:
         stored = await self._platform.read(plan_key(plan))
         if stored is None:
-            raise UnknownPlanError(f"no plan {plan!r}; see 'wharfctl audit' for those there are")
+            raise UnknownPlanError(f"no plan {plan!r}; 'wharfctl audit' lists the plans of a day")
         return from_peer(stored.value, Plan), stored
 
     async def confirm(self, name: str, operator: str) -> Plan:
-        """Put a plan in force once; confirming it again changes nothing more.
+        """Apply a plan; confirming it again has no effect.
 
         Raises
         ------
         StalePlanError
-            If another change came between; the message says which.
+            If other changes were applied since the plan was made; the message names them.
         ExpiredPlanError
-            If it is too old.
+            If the plan has expired.
         """
         plan, stored_plan = await self._read_plan(name)
         if plan.generation:
             return plan
-        for _ in range(CONFIRM_TRIES):
+        for _ in range(MAX_CONFIRM_ATTEMPTS):
             stored = await self._store.load()
             generation = stored.head.generation_of(name)
             if generation is None:
                 generation = await self._apply(plan, stored)
             if generation is not None:
-                return await self._mark(plan, stored_plan, generation, operator)
-        raise StalePlanError(f"plan {name!r} keeps being overtaken. Plan again")
+                return await self._record_confirmation(plan, stored_plan, generation, operator)
+        raise StalePlanError(
+            f"plan {name!r} was not applied: other changes were applied meanwhile. Plan again"
+        )
 
     async def _apply(self, plan: Plan, stored: StoredConfiguration) -> int | None:
         if stored.head.generation != plan.base_generation:
-            raise StalePlanError(await self._overtaken(plan, stored))
+            raise StalePlanError(await self._describe_newer_changes(plan, stored))
         if self._wall_clock() > plan.expires_at:
             raise ExpiredPlanError(f"plan {plan.plan!r} has expired. Plan again and confirm sooner")
-        wanted = apply_intent(stored.configuration, read_intent(plan.intent), plan.plan)
+        target = apply_intent(stored.configuration, read_intent(plan.intent), plan.plan)
         try:
-            return await self._store.replace(stored, wanted, plan.plan)
+            return await self._store.replace(stored, target, plan.plan)
         except ConflictError:
             return None
 
-    async def _overtaken(self, plan: Plan, stored: StoredConfiguration) -> str:
-        later = [each for each in stored.head.applied if each.generation > plan.base_generation]
-        told = []
-        for applied in later[-OVERTAKERS_NAMED:]:
+    async def _describe_newer_changes(self, plan: Plan, stored: StoredConfiguration) -> str:
+        newer = [each for each in stored.head.applied if each.generation > plan.base_generation]
+        summaries = []
+        for applied in newer[-MAX_CHANGES_NAMED:]:
             other = await self._platform.read(plan_key(applied.plan))
             value = other.value if other else {}
-            lines = "; ".join(value.get("differences", [])[:OVERTAKERS_NAMED])
-            told.append(f"{applied.plan} by {value.get('operator', 'someone')}: {lines}")
+            lines = "; ".join(value.get("differences", [])[:MAX_CHANGES_NAMED])
+            summaries.append(f"{applied.plan} by {value.get('operator', 'someone')}: {lines}")
         return (
-            f"plan {plan.plan!r} was made for generation {plan.base_generation}, in force is "
-            f"{stored.head.generation}. Changed since: {' | '.join(told)}. Plan again"
+            f"plan {plan.plan!r} was made for generation {plan.base_generation}, but "
+            f"{stored.head.generation} is in force. "
+            f"Changed since: {' | '.join(summaries)}. Plan again"
         )
 
-    async def _mark(self, plan: Plan, stored: StoredObject, generation: int, operator: str) -> Plan:
+    async def _record_confirmation(
+        self, plan: Plan, stored: StoredObject, generation: int, operator: str
+    ) -> Plan:
         confirmed = attrs.evolve(
             plan,
             confirmed_by=operator,
@@ -288,7 +293,7 @@
     Raises
     ------
     BadRequestError
-        If it is none; the message names the kinds or the faulty fields.
+        If the kind is unknown or a field is invalid; the message names what is accepted.
     """
     kind = body.get("kind") if isinstance(body, dict) else None
     if kind not in INTENT_KINDS:
@@ -299,21 +304,21 @@
 
 
 def _differences(old: Configuration, new: Configuration) -> list[str]:
-    lines = differences(_named(old), _named(new))
+    lines = differences(_configuration_json(old), _configuration_json(new))
     if len(lines) > MAX_DIFFERENCES:
         more = len(lines) - MAX_DIFFERENCES
         lines = [*lines[:MAX_DIFFERENCES], f"and {more} more"]
     return lines
 
 
-def _named(configuration: Configuration) -> dict[str, Any]:
+def _configuration_json(configuration: Configuration) -> dict[str, Any]:
     return {"pools": to_json(configuration.pools), "groups": to_json(configuration.groups)}
 
 
 def _warnings(intent: Intent) -> list[str]:
     match intent:
         case DrainEndpoint():
-            return ["the group goes on with two servers; a failure then stops its writes"]
+            return ["the group is left with two servers; if one more fails, its writes stop"]
         case ChangePrimary():
             return ["transactions that outlast their length limit are rolled back"]
         case _:
--- a/wharftiller/daemons/configuration_distributor.py
+++ b/wharftiller/daemons/configuration_distributor.py
@@ -1,4 +1,4 @@
-"""Spread configuration inside a data centre: relays watch the platform, others a relay."""
+"""Distribute configuration in a data centre: relays watch the platform, others poll a relay."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 from wharftiller.logs import component_log
 from wharftiller.settings import Settings
 
-WATCH_S = 5.0
-FOLLOW_WAIT_MS = 2_000
+WATCH_TIMEOUT_S = 5.0
+LONG_POLL_MS = 2_000
 RETRY_S = 0.3
 MAX_WAIT_MS = 10_000
-STATUS_EVERY_S = 1.0
-PEERS_ASKED = 4
+STATUS_INTERVAL_S = 1.0
+MAX_PEERS_POLLED = 4
 
 
 def status_key(data_centre: str, box: str) -> str:
-    """Return the key of the status that a relay sums for its data centre."""
+    """Return the key of the status that a relay writes for its data centre."""
     return f"status/{data_centre}/{box}"
 
 
 class ConfigurationDistributor:
-    """Follows the newest configuration and passes it on.
+    """Keeps the newest configuration and list of boxes and serves them to other processes.
 
     Parameters
     ----------
-    configured, listed : callable
-        Called when a newer configuration, or a list of boxes, is in force here.
+    on_configuration, on_boxes : callable
+        Called when this box adopts a newer configuration, or another list of boxes.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         settings: Settings,
         transport: Transport,
         randomness: random.Random,
-        configured: Callable[[], None],
-        listed: Callable[[], None],
+        on_configuration: Callable[[], None],
+        on_boxes: Callable[[], None],
     ) -> None:
         self._settings = settings
         self._transport = transport
         self._random = randomness
-        self._on_configured = configured
-        self._on_listed = listed
+        self._on_configuration = on_configuration
+        self._on_boxes = on_boxes
         self._log = component_log("steward", settings.box.name)
         self.counters: Counter[str] = Counter()
         address = settings.platform.address
@@ -84,12 +84,12 @@
 
     @property
     def generation(self) -> int:
-        """Its generation."""
+        """Generation of the newest configuration."""
         return self._holder.current.generation
 
     @property
     def boxes(self) -> list[BoxEntry]:
-        """The platform's list of boxes as last known here."""
+        """The newest known list of the platform's boxes."""
         return self._boxes
 
     @property
@@ -111,25 +111,25 @@
         return relays(data_centre, names)
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Run until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._follow_for_ever)
+            nursery.start_soon(self._watch_for_ever)
             nursery.start_soon(self._list_for_ever)
             nursery.start_soon(self._status_for_ever)
 
-    # Following ----------------------------------------------------------
+    # Watching -----------------------------------------------------------
 
-    async def _follow_for_ever(self) -> None:
-        await self._ask_peers()
+    async def _watch_for_ever(self) -> None:
+        await self._poll_peers()
         while True:
-            if not self.is_relay and await self._follow_relays():
+            if not self.is_relay and await self._poll_relays():
                 continue
             if not await self._watch_platform():
-                await self._ask_peers()
+                await self._poll_peers()
                 await trio.sleep(RETRY_S * self._random.uniform(0.5, 1.5))
 
     async def _watch_platform(self) -> bool:
-        wait_s = WATCH_S if self._head_version else 0.0
+        wait_s = WATCH_TIMEOUT_S if self._head_version else 0.0
         try:
             if not self._head_version:
                 stored = await self._platform.read(HEAD_KEY)
@@ -138,102 +138,102 @@
             if stored is not None:
                 loaded = await self._store.load_from(stored)
                 self._head_version = loaded.head_version
-                self._take(self._holder.take(loaded.configuration))
+                self._notify_configuration(self._holder.take(loaded.configuration))
         except PlatformUnavailableError:
             return False
         if stored is None and not self._head_version:
             await trio.sleep(RETRY_S)
         return True
 
-    async def _follow_relays(self) -> bool:
+    async def _poll_relays(self) -> bool:
         addresses = {entry.name: entry.steward for entry in self._boxes}
-        # Each box has its own order, so that a relay serves a third of them.
+        # Each box ranks the relays differently, which spreads the load over them.
         for name in ranked(f"follow/{self._settings.box.name}", self._relay_names()):
             address = addresses.get(name)
-            if address and await self._ask(address, FOLLOW_WAIT_MS):
+            if address and await self._poll(address, LONG_POLL_MS):
                 return True
         return False
 
-    async def _ask_peers(self) -> None:
-        """Take the newest configuration that a few other boxes have."""
-        places = {entry.steward for entry in self._boxes if entry.steward}
-        places.update(self._settings.steward.peers)
-        places.discard(self._settings.steward.listen)
-        asked = self._random.sample(sorted(places), min(PEERS_ASKED, len(places)))
-        # The first to answer sends everything, the others only what is newer.
-        while asked and not await self._ask(asked.pop(), 0):
+    async def _poll_peers(self) -> None:
+        """Adopt the newest configuration of a few other boxes."""
+        addresses = {entry.steward for entry in self._boxes if entry.steward}
+        addresses.update(self._settings.steward.peers)
+        addresses.discard(self._settings.steward.listen)
+        polled = self._random.sample(sorted(addresses), min(MAX_PEERS_POLLED, len(addresses)))
+        # The first reply is the whole configuration, later ones hold only newer changes.
+        while polled and not await self._poll(polled.pop(), 0):
             pass
         async with trio.open_nursery() as nursery:
-            for address in asked:
-                nursery.start_soon(self._ask, address, 0)
+            for address in polled:
+                nursery.start_soon(self._poll, address, 0)
 
-    async def _ask(self, address: str, wait_ms: int) -> bool:
+    async def _poll(self, address: str, wait_ms: int) -> bool:
         if address not in self._clients:
             self._clients[address] = PeerClient(self._transport, address, self._settings.keys)
         box = self._settings.box.name
-        question = ConfigurationRequest(box, self.generation, wait_ms, dict(self._in_force))
+        request = ConfigurationRequest(box, self.generation, wait_ms, dict(self._in_force))
         try:
-            answer = await self._clients[address].ask_configuration(question)
+            response = await self._clients[address].ask_configuration(request)
         except ExchangeError:
             return False
-        if answer.change is not None:
-            self._take(self._holder.take_change(answer.change))
-        if answer.list_age_s is not None:
-            self._take_boxes(answer.boxes, trio.current_time() - answer.list_age_s)
+        if response.change is not None:
+            self._notify_configuration(self._holder.take_change(response.change))
+        if response.list_age_s is not None:
+            self._update_boxes(response.boxes, trio.current_time() - response.list_age_s)
         return True
 
-    def _take(self, newer: bool) -> None:
-        if newer:
+    def _notify_configuration(self, is_newer: bool) -> None:
+        if is_newer:
             self._log.info(f"generation {self.generation} is in force")
-            self._on_configured()
-            self._wake()
+            self._on_configuration()
+            self._wake_waiters()
 
-    def _wake(self) -> None:
+    def _wake_waiters(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
-    def _take_boxes(self, boxes: list[BoxEntry], read_at: float) -> None:
-        """Take in a list that was read from the platform at ``read_at``."""
+    def _update_boxes(self, boxes: list[BoxEntry], read_at: float) -> None:
+        """Adopt a list that was read from the platform at ``read_at``, if it is newer."""
         if self._list_read_at is not None and read_at <= self._list_read_at:
             return
-        first = self._list_read_at is None
+        is_first = self._list_read_at is None
         self._list_read_at = read_at
-        if first or boxes != self._boxes:
+        if is_first or boxes != self._boxes:
             self._boxes = boxes
-            self._on_listed()
-            self._wake()
+            self._on_boxes()
+            self._wake_waiters()
 
     async def _list_for_ever(self) -> None:
-        """Read the platform's list of boxes, on relays only once a list is known."""
+        """Read the platform's list of boxes; once a list is known, only on relays."""
         every_s = self._settings.platform.list_lag_s / 4
         while True:
             if self.is_relay:
-                asked_at = trio.current_time()
+                requested_at = trio.current_time()
                 try:
-                    self._take_boxes(await self._platform.boxes(), asked_at)
+                    self._update_boxes(await self._platform.boxes(), requested_at)
                 except PlatformUnavailableError:
                     self._count("list.failed")
             await trio.sleep(min(every_s, 5.0) if self._list_read_at is not None else RETRY_S)
 
-    # Passing on ---------------------------------------------------------
+    # Serving ------------------------------------------------------------
 
-    async def answer(self, request: HttpRequest) -> HttpResponse:
-        """Answer another process's question for a newer configuration.
+    async def handle_request(self, http_request: HttpRequest) -> HttpResponse:
+        """Answer a long poll for a newer configuration or list of boxes.
 
         Raises
         ------
         AuthenticationError
-            If it is none of our processes.
+            If the sender is no process of this deployment.
         """
-        check_peer(request, self._settings.keys)
-        question = from_caller(request.json(), ConfigurationRequest)
-        self._in_force.update(question.in_force)
+        check_peer(http_request, self._settings.keys)
+        request = from_caller(http_request.json(), ConfigurationRequest)
+        self._in_force.update(request.in_force)
         boxes = self._boxes
-        with trio.move_on_after(min(question.wait_ms, MAX_WAIT_MS) / 1000):
-            while question.generation >= self.generation and boxes is self._boxes:
+        with trio.move_on_after(min(request.wait_ms, MAX_WAIT_MS) / 1000):
+            while request.generation >= self.generation and boxes is self._boxes:
                 await self._changed.wait()
-        newer = question.generation < self.generation
-        change = self._holder.change_since(question.generation) if newer else None
+        is_newer = request.generation < self.generation
+        change = self._holder.change_since(request.generation) if is_newer else None
         return reply(ConfigurationReply(change, self._boxes, self._list_age_s()))
 
     def _list_age_s(self) -> float | None:
@@ -241,9 +241,9 @@
         return None if read_at is None else trio.current_time() - read_at
 
     async def _status_for_ever(self) -> None:
-        """Write the data centre's summed status, when it has changed, from relays only."""
+        """Write the status of this data centre's boxes when it has changed; on relays only."""
         while True:
-            await trio.sleep(STATUS_EVERY_S)
+            await trio.sleep(STATUS_INTERVAL_S)
             if self.is_relay and self._in_force != self._status_written:
                 await self._write_status(dict(self._in_force))
 
--- a/wharftiller/daemons/proxy.py
+++ b/wharftiller/daemons/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy daemon: the proxy's core between callers and endpoints."""
+"""The proxy daemon: connects the proxy's core to callers and endpoints."""
 
 from __future__ import annotations
 
@@ -48,31 +48,31 @@
 
 TICK_S = 0.01
 IDLE_TICK_S = 0.1
-"""Time between ticks while nothing is under way; enough for heartbeats and bounds."""
+"""Time between ticks without requests, in seconds; short enough for heartbeats."""
 
 PUBLISH_S = 1.0
-FOLLOW_WAIT_MS = 1_000
-FOLLOW_RETRY_S = 0.2
-EXPLAIN_MATCHES = 16
+LONG_POLL_MS = 1_000
+POLL_RETRY_S = 0.2
+MAX_DECISIONS_SHOWN = 16
 
 
 @attrs.define
 class _Waiter:
-    """A caller's task that waits for its answer."""
+    """A task that waits for the answer to its request."""
 
     arrived: trio.Event = attrs.field(factory=trio.Event)
     answer: Answer | None = None
 
 
 class ProxyDaemon:
-    """One proxy.
+    """Serves callers' requests by the decisions of the proxy's core.
 
     Parameters
     ----------
     transport : Transport
         Opens and accepts every stream.
     trace : file or None
-        Where to record every step of the core (`wharftiller.traces`).
+        Receives a record of every step of the core (`wharftiller.traces`).
     """
 
     def __init__(
@@ -95,9 +95,9 @@
         self._keys = itertools.count(1)
         self._holder = ConfigurationHolder()
         self._waiters: dict[int, _Waiter] = {}
-        self._unready = False
-        self._stop_asked = trio.Event()
-        self._woken = trio.Event()
+        self._is_stopping = False
+        self._stop_requested = trio.Event()
+        self._request_arrived = trio.Event()
         self._connections: StatementConnections | None = None
         self._lanes: ReportLanes | None = None
 
@@ -107,30 +107,30 @@
         return self._core
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until `stop` is called and everything accepted is answered."""
+        """Serve until `stop` is called and every accepted request is answered."""
         async with trio.open_nursery() as nursery:
             self._connections = StatementConnections(
                 self._transport, self._settings.box.name, nursery, self.feed
             )
             self._lanes = ReportLanes(self._transport, nursery, self.feed)
             nursery.start_soon(self._tick_for_ever)
-            nursery.start_soon(self._follow_configuration)
+            nursery.start_soon(self._poll_configuration)
             nursery.start_soon(self._publish_for_ever)
             listen = self._settings.proxy.listen
             address = await nursery.start(self._transport.serve, listen, self._serve)
             self._log.info(f"listens on {address}")
             task_status.started(address)
-            await self._stop_asked.wait()
+            await self._stop_requested.wait()
             await self._drain()
             nursery.cancel_scope.cancel()
 
     def stop(self) -> None:
-        """Turn unready, finish what was accepted, then end."""
-        self._stop_asked.set()
+        """Report unready, finish accepted requests, then end `run`."""
+        self._stop_requested.set()
 
     async def _drain(self) -> None:
-        self._unready = True
-        self._log.info("is stopping; unready")
+        self._is_stopping = True
+        self._log.info("is stopping and reports unready")
         await trio.sleep(self._settings.proxy.stop_unready_s)
         self.feed(StopAsked())
         tables = self._core.tables
@@ -140,16 +140,16 @@
         self._log.info(f"stops with {len(tables.requests)} requests unanswered")
 
     def feed(self, message: Input) -> None:
-        """Give the core an input and carry out what it asks for."""
+        """Pass an input to the core and execute its outputs."""
         now = trio.current_time()
         outputs = self._core.handle(message, now)
         if self._recorder is not None:
-            idle = not self._core.tables.requests
-            self._recorder.record(now, message, outputs, idle=idle)
+            is_idle = not self._core.tables.requests
+            self._recorder.record(now, message, outputs, idle=is_idle)
         for output in outputs:
-            self._carry_out(output)
+            self._execute(output)
 
-    def _carry_out(self, output: Output) -> None:
+    def _execute(self, output: Output) -> None:
         assert self._connections is not None
         assert self._lanes is not None
         match output:
@@ -168,11 +168,11 @@
                 self._connections.close(number)
 
     async def ask(self, request: Request) -> Answer:
-        """Run a request and return its one final answer."""
+        """Run a request and return its final answer."""
         key = next(self._keys)
         waiter = _Waiter()
         self._waiters[key] = waiter
-        self._woken.set()
+        self._request_arrived.set()
         self.feed(StatementArrived(key, request))
         await waiter.arrived.wait()
         assert waiter.answer is not None
@@ -183,9 +183,9 @@
             if self._core.tables.requests:
                 await trio.sleep(TICK_S)
             else:
-                self._woken = trio.Event()
+                self._request_arrived = trio.Event()
                 with trio.move_on_after(IDLE_TICK_S):
-                    await self._woken.wait()
+                    await self._request_arrived.wait()
             self.feed(Tick())
 
     async def _publish_for_ever(self) -> None:
@@ -199,24 +199,24 @@
             }
             self._metrics.publish(tables.counters, gauges)
 
-    async def _follow_configuration(self) -> None:
-        """Take configurations and box lists from this box's steward, else from its peers."""
+    async def _poll_configuration(self) -> None:
+        """Poll this box's steward, else its peers, for configurations and lists of boxes."""
         steward = self._settings.steward
-        places = [steward.listen, *steward.peers]
-        clients = [PeerClient(self._transport, each, self._settings.keys) for each in places]
+        addresses = [steward.listen, *steward.peers]
+        clients = [PeerClient(self._transport, each, self._settings.keys) for each in addresses]
         while True:
             for client in clients:
-                if await self._follow_once(client):
+                if await self._poll_once(client):
                     break
             else:
-                await trio.sleep(FOLLOW_RETRY_S)
+                await trio.sleep(POLL_RETRY_S)
 
-    async def _follow_once(self, client: PeerClient) -> bool:
+    async def _poll_once(self, client: PeerClient) -> bool:
         box = self._settings.box.name
         generation = self._holder.current.generation
-        question = ConfigurationRequest(box, generation, FOLLOW_WAIT_MS, {box: generation})
+        request = ConfigurationRequest(box, generation, LONG_POLL_MS, {box: generation})
         try:
-            reply = await client.ask_configuration(question)
+            reply = await client.ask_configuration(request)
         except ExchangeError:
             return False
         if reply.change is not None and self._holder.take_change(reply.change):
@@ -227,7 +227,7 @@
             self.feed(BoxesListed(names, trio.current_time() - reply.list_age_s))
         return True
 
-    # Served -------------------------------------------------------------
+    # HTTP interface -----------------------------------------------------
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
         await serve_stream(stream, self._handle)
@@ -239,7 +239,7 @@
             case ("GET", "/ready"):
                 response = self._ready()
             case ("POST", "/peer/primary"):
-                response = self._noticed(request)
+                response = self._handle_primary_notice(request)
             case ("GET", "/servers"):
                 self._check_operator(request)
                 response = self._servers()
@@ -251,15 +251,15 @@
                     f"no {method} {path}; use POST /statements, GET /ready, "
                     "GET /explain/REQUEST_ID or GET /servers"
                 )
-        response.close = response.close or self._unready
+        response.close = response.close or self._is_stopping
         return response
 
     def _ready(self) -> HttpResponse:
         generation = self._core.tables.configuration.generation
-        ready = generation > 0 and not self._unready
+        ready = generation > 0 and not self._is_stopping
         return HttpResponse(200 if ready else 503, {"ready": ready, "generation": generation})
 
-    def _noticed(self, request: HttpRequest) -> HttpResponse:
+    def _handle_primary_notice(self, request: HttpRequest) -> HttpResponse:
         check_peer(request, self._settings.keys)
         notice = from_caller(request.json(), PrimaryNotice)
         self.feed(PrimaryNoticed(notice.group, notice.term, notice.endpoint))
@@ -276,7 +276,7 @@
             if decision.request_id == request_id
         ]
         box = self._settings.box.name
-        return HttpResponse(200, {"box": box, "decisions": found[:EXPLAIN_MATCHES]})
+        return HttpResponse(200, {"box": box, "decisions": found[:MAX_DECISIONS_SHOWN]})
 
     def _servers(self) -> HttpResponse:
         tables = self._core.tables
--- a/wharftiller/daemons/steward.py
+++ b/wharftiller/daemons/steward.py
@@ -1,4 +1,4 @@
-"""The steward daemon: watches groups, orders promotions, spreads configuration."""
+"""The steward daemon: monitors groups, runs failovers, distributes configuration."""
 
 from __future__ import annotations
 
@@ -47,16 +47,16 @@
 
 TICK_S = 0.02
 IDLE_TICK_S = 0.06
-"""Time between ticks while no promotion is under way; reports and answers need no tick."""
+"""Time between ticks without a failover, in seconds; reports and replies need no tick."""
 
 PUBLISH_S = 1.0
 REPORT_TIMEOUT_S = 0.3
 ORDER_TIMEOUT_S = 0.5
-LOST_PAUSE_S = 0.05
+LOST_ORDER_DELAY_S = 0.05
 
 
 def record_key(group: str) -> str:
-    """Return the key of a group's object."""
+    """Return the key of a group's record."""
     return f"groups/{group}"
 
 
@@ -66,7 +66,7 @@
 
 
 class StewardDaemon:
-    """One steward.
+    """Monitors groups and runs failovers by the decisions of the steward's core.
 
     Parameters
     ----------
@@ -91,12 +91,12 @@
         process = f"{settings.box.name}/{secrets.token_hex(6)}"
         self._core = StewardCore(settings.box.name, randomness, settings.steward.detect_s, process)
         self._platform = PlatformClient(transport, settings.platform.address)
-        self._spreader = ConfigurationDistributor(
-            settings, transport, randomness, self._configured, self._listed
+        self._distributor = ConfigurationDistributor(
+            settings, transport, randomness, self._on_configuration, self._on_boxes
         )
-        self._controls: dict[str, HttpClient] = {}
-        self._orders: dict[str, HttpClient] = {}
-        self._proxies: dict[str, PeerClient] = {}
+        self._report_clients: dict[str, HttpClient] = {}
+        self._order_clients: dict[str, HttpClient] = {}
+        self._proxy_clients: dict[str, PeerClient] = {}
         self._nursery: trio.Nursery | None = None
 
     @property
@@ -111,7 +111,7 @@
             listen = self._settings.steward.listen
             address = await nursery.start(self._transport.serve, listen, self._serve)
             self._log.info(f"listens on {address}")
-            nursery.start_soon(self._spreader.run)
+            nursery.start_soon(self._distributor.run)
             nursery.start_soon(self._tick_for_ever)
             task_status.started(address)
 
@@ -121,38 +121,38 @@
     async def _handle(self, request: HttpRequest) -> HttpResponse:
         match (request.method, request.path):
             case ("POST", "/peer/configuration"):
-                return await self._spreader.answer(request)
+                return await self._distributor.handle_request(request)
             case ("GET", "/ready"):
-                generation = self._spreader.generation
+                generation = self._distributor.generation
                 return HttpResponse(200 if generation else 503, {"generation": generation})
             case (method, path):
                 raise UnknownPathError(f"no {method} {path}; use GET /ready")
 
-    def _configured(self) -> None:
-        self.feed(ConfigurationArrived(self._spreader.configuration))
+    def _on_configuration(self) -> None:
+        self.feed(ConfigurationArrived(self._distributor.configuration))
 
-    def _listed(self) -> None:
-        boxes = self._spreader.boxes
+    def _on_boxes(self) -> None:
+        boxes = self._distributor.boxes
         self.feed(BoxesPlaced({box.name: box.data_centre for box in boxes if not box.leaving}))
 
     def feed(self, message: StewardInput) -> None:
-        """Give the core an input and carry out what it asks for."""
+        """Pass an input to the core and execute its outputs."""
         for output in self._core.handle(message, trio.current_time()):
-            self._carry_out(output)
+            self._execute(output)
 
-    def _carry_out(self, output: StewardOutput) -> None:
+    def _execute(self, output: StewardOutput) -> None:
         assert self._nursery is not None
         match output:
             case AskReport():
-                self._nursery.start_soon(self._ask_report, output)
+                self._nursery.start_soon(self._request_report, output)
             case ReadRecord(group):
                 self._nursery.start_soon(self._read_record, group)
             case UpdateRecord():
                 self._nursery.start_soon(self._update_record, output)
             case GiveOrder():
-                self._nursery.start_soon(self._give_order, output)
+                self._nursery.start_soon(self._send_order, output)
             case NoticePrimary():
-                self._notice(output)
+                self._announce_primary(output)
             case LogMessage(group, text):
                 self._log.info(f"group {group} {text}", fields={"group": group})
             case _:
@@ -165,19 +165,19 @@
             self.feed(Tick())
             if trio.current_time() - published_at >= PUBLISH_S:
                 published_at = trio.current_time()
-                generation = float(self._spreader.generation)
-                self._metrics.publish(self._spreader.counters, {"generation": generation})
+                generation = float(self._distributor.generation)
+                self._metrics.publish(self._distributor.counters, {"generation": generation})
 
-    def _control(self, kept: dict[str, HttpClient], address: str) -> HttpClient:
-        if address not in kept:
-            kept[address] = HttpClient(self._transport, address)
-        return kept[address]
+    def _client(self, clients: dict[str, HttpClient], address: str) -> HttpClient:
+        if address not in clients:
+            clients[address] = HttpClient(self._transport, address)
+        return clients[address]
 
-    async def _ask_report(self, order: AskReport) -> None:
+    async def _request_report(self, order: AskReport) -> None:
         sent_at = trio.current_time()
         body = {"wait_position": 0, "wait_ms": 0}
         try:
-            client = self._control(self._controls, order.address)
+            client = self._client(self._report_clients, order.address)
             answer = await client.request("POST", "/report", body, timeout_s=REPORT_TIMEOUT_S)
             report = from_peer(answer.json(), Report)
         except ExchangeError:
@@ -185,7 +185,7 @@
         else:
             self.feed(ServerReported(order.endpoint, sent_at, report))
 
-    async def _give_order(self, order: GiveOrder) -> None:
+    async def _send_order(self, order: GiveOrder) -> None:
         body = {
             "term": order.term,
             "address": order.primary_address,
@@ -194,13 +194,13 @@
             "attempt": order.attempt,
         }
         try:
-            client = self._control(self._orders, order.address)
+            client = self._client(self._order_clients, order.address)
             answer = await client.request(
                 "POST", f"/{order.order.value}", body, timeout_s=ORDER_TIMEOUT_S
             )
             report = from_peer(answer.json(), Report)
         except ExchangeError:
-            await trio.sleep(LOST_PAUSE_S)
+            await trio.sleep(LOST_ORDER_DELAY_S)
             self.feed(OrderLost(order.group, order.endpoint, order.order, order.term))
             return
         accepted = answer.status == 200
@@ -245,17 +245,17 @@
         except (ConflictError, PlatformUnavailableError) as error:
             self._log.warning(f"the audit entry {name} was not written: {error}")
 
-    def _notice(self, notice: NoticePrimary) -> None:
+    def _announce_primary(self, notice: NoticePrimary) -> None:
         assert self._nursery is not None
-        listed = [entry.proxy for entry in self._spreader.boxes if entry.proxy]
-        for address in sorted({self._settings.proxy.listen, *listed}):
-            self._nursery.start_soon(self._notice_one, address, notice)
+        proxies = [entry.proxy for entry in self._distributor.boxes if entry.proxy]
+        for address in sorted({self._settings.proxy.listen, *proxies}):
+            self._nursery.start_soon(self._send_notice, address, notice)
 
-    async def _notice_one(self, address: str, notice: NoticePrimary) -> None:
-        if address not in self._proxies:
-            self._proxies[address] = PeerClient(self._transport, address, self._settings.keys)
+    async def _send_notice(self, address: str, notice: NoticePrimary) -> None:
+        if address not in self._proxy_clients:
+            self._proxy_clients[address] = PeerClient(self._transport, address, self._settings.keys)
         message = PrimaryNotice(notice.group, notice.term, notice.endpoint)
         try:
-            await self._proxies[address].notice_primary(message)
+            await self._proxy_clients[address].notice_primary(message)
         except ExchangeError:
             return
