--- a/wharftiller/cli/calls.py
+++ b/wharftiller/cli/calls.py
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Target:
-    """A daemon's address and who calls."""
+    """Address of a daemon, with the operator's name and key."""
 
     address: str
     operator: str
@@ -29,12 +29,12 @@
 
 
 def call(target: Target, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-    """Return the status and JSON body of an answer.
+    """Send a request and return the status and JSON body of the reply.
 
     Raises
     ------
     CallError
-        If the daemon does not answer, or the address is none.
+        If the daemon does not answer, or the address is invalid.
     """
     try:
         split_address(target.address)
@@ -46,6 +46,6 @@
 async def _call(target: Target, method: str, path: str, body: Any) -> tuple[int, Any]:
     client = HttpClient(TcpTransport(), target.address)
     headers = {**bearer_header(target.key), "x-operator": target.operator}
-    answer = await client.request(method, path, body, headers, timeout_s=CALL_TIMEOUT_S)
+    reply = await client.request(method, path, body, headers, timeout_s=CALL_TIMEOUT_S)
     await client.aclose()
-    return answer.status, answer.json()
+    return reply.status, reply.json()
--- a/wharftiller/cli/proxy.py
+++ b/wharftiller/cli/proxy.py
@@ -17,17 +17,17 @@
     settings: Annotated[Path, typer.Option(help="The box's settings file.")],
     check: Annotated[bool, typer.Option(help="Only check the settings.")] = False,
     record: Annotated[
-        Path | None, typer.Option(help="Record every decision here; see 'wharfctl replay'.")
+        Path | None, typer.Option(help="Record every decision in this file; see 'wharfctl replay'.")
     ] = None,
 ) -> None:
     """Serve callers' statements."""
 
-    def make(checked: Settings) -> tuple[Run, Stop]:
+    def create(loaded: Settings) -> tuple[Run, Stop]:
         trace = record.open("w", encoding="utf-8") if record else None
-        daemon = ProxyDaemon(checked, TcpTransport(), trace=trace)
+        daemon = ProxyDaemon(loaded, TcpTransport(), trace=trace)
         return daemon.run, daemon.stop
 
-    run_daemon(settings, check, make)
+    run_daemon(settings, check, create)
 
 
 def main() -> None:
--- a/wharftiller/cli/report_tables.py
+++ b/wharftiller/cli/report_tables.py
@@ -13,12 +13,12 @@
 
     from wharftiller.run_report import RunReport
 
-COUNTS = ("refused", "unknown", "late", "of the refused: too early to replace")
-"""Columns of the tables of losses."""
+COUNT_COLUMNS = ("refused", "unknown", "late", "of the refused: too early to replace")
+"""Columns of counts in the tables of losses."""
 
 BAR = "\u2588"
 BAR_WIDTH = 40
-"""Width of the longest bar, in signs."""
+"""Width of the longest bar, in characters."""
 
 
 def tables_of(report: RunReport) -> Iterator[Table]:
@@ -64,17 +64,17 @@
 
 def _losses(report: RunReport) -> Table:
     table = Table(
-        "from second", "cause", *COUNTS, "", title="Not served within the goal, by moment"
+        "from second", "cause", *COUNT_COLUMNS, "", title="Not served within the goal, by moment"
     )
-    most = max((loss.total for loss in report.losses), default=1)
+    largest = max((loss.total for loss in report.losses), default=1)
     for loss in report.losses:
-        bar = BAR * max(1, round(BAR_WIDTH * loss.total / most))
+        bar = BAR * max(1, round(BAR_WIDTH * loss.total / largest))
         table.add_row(f"{loss.begin:.0f}", loss.cause, *_counts(loss), bar)
     return table
 
 
 def _causes(report: RunReport) -> Table:
-    table = Table("cause", *COUNTS, title="Not served within the goal, in all")
+    table = Table("cause", *COUNT_COLUMNS, title="Not served within the goal, in all")
     causes: dict[str, Loss] = {}
     for loss in report.losses:
         total = causes.setdefault(loss.cause, Loss(0.0, loss.cause))
--- a/wharftiller/cli/steward.py
+++ b/wharftiller/cli/steward.py
@@ -22,7 +22,7 @@
     settings: Annotated[Path, typer.Option(help="The box's settings file.")],
     check: Annotated[bool, typer.Option(help="Only check the settings.")] = False,
 ) -> None:
-    """Watch groups, order promotions, spread configuration."""
+    """Monitor groups, run failovers, distribute configuration."""
     run_daemon(settings, check, _daemon)
 
 
--- a/wharftiller/cli/wharfctl.py
+++ b/wharftiller/cli/wharfctl.py
@@ -28,37 +28,37 @@
 
 app = typer.Typer(
     no_args_is_help=True,
-    help="Drive wharftiller: state an intent with 'plan', then 'confirm' the plan it gives.",
+    help="Operate wharftiller: make a plan with 'plan', then apply it with 'confirm'.",
     epilog="Exit codes: 0 done, 1 refused (the message says why), 2 bad usage, 3 not reachable.",
 )
 
 REPORT_WIDTH = 110
 """Width of a report's tables, in characters."""
 
-REFUSED = 1
-BAD_USAGE = 2
-NOT_REACHABLE = 3
+EXIT_REFUSED = 1
+EXIT_BAD_USAGE = 2
+EXIT_NOT_REACHABLE = 3
 
 AdminOption = Annotated[
     str, typer.Option(envvar="WHARF_ADMIN", help="Address of an admin, like 127.0.0.1:7300.")
 ]
 ProxyOption = Annotated[
-    list[str], typer.Option(help="Address of a proxy; give it once for each box to ask.")
+    list[str], typer.Option(help="Address of a proxy; repeat it for several boxes.")
 ]
 OperatorOption = Annotated[str, typer.Option(envvar="WHARF_OPERATOR", help="Your name.")]
 KeyOption = Annotated[str, typer.Option(envvar="WHARF_KEY", help="Your key.")]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON for programs.")]
 
 
-def _ask(target: Target, method: str, path: str, body: Any = None) -> Any:
+def _request(target: Target, method: str, path: str, body: Any = None) -> Any:
     try:
         status, value = call(target, method, path, body)
     except CallError as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(NOT_REACHABLE) from None
+        raise typer.Exit(EXIT_NOT_REACHABLE) from None
     if status >= 400:
         typer.echo(f"{value.get('error')}: {value.get('message')}", err=True)
-        raise typer.Exit(REFUSED)
+        raise typer.Exit(EXIT_REFUSED)
     return value
 
 
@@ -97,7 +97,7 @@
     key: KeyOption,
     as_json: JsonOption = False,
 ) -> None:
-    """State an intent and see the plan; nothing happens until it is confirmed.
+    """Make and print the plan of an intent; nothing changes until it is confirmed.
 
     Kinds: create_group, remove_group, create_pool, change_pool, remove_pool,
     change_primary, drain_endpoint, return_endpoint. Example:
@@ -108,8 +108,8 @@
         body = json5.loads(text)
     except (OSError, ValueError) as error:
         typer.echo(f"the intent cannot be read: {error}. Write a JSON object", err=True)
-        raise typer.Exit(BAD_USAGE) from None
-    value = _ask(Target(admin, operator, key), "POST", "/plans", body)
+        raise typer.Exit(EXIT_BAD_USAGE) from None
+    value = _request(Target(admin, operator, key), "POST", "/plans", body)
     _print_json(value) if as_json else _print_plan(value)
 
 
@@ -121,18 +121,18 @@
     key: KeyOption,
     as_json: JsonOption = False,
 ) -> None:
-    """Put a plan in force; confirming it again changes nothing more."""
-    value = _ask(Target(admin, operator, key), "POST", f"/plans/{plan_id}/confirm")
+    """Apply a plan; confirming it again has no effect."""
+    value = _request(Target(admin, operator, key), "POST", f"/plans/{plan_id}/confirm")
     _print_json(value) if as_json else _print_plan(value)
 
 
 @app.command("fingerprint")
 def show_fingerprint() -> None:
-    """Print what logs call a caller's key, read without an echo or from standard input."""
+    """Print the fingerprint of a caller's key, read without echo or from standard input."""
     key = getpass.getpass("key: ") if sys.stdin.isatty() else sys.stdin.readline().strip()
     if not key:
         typer.echo("no key was given; type it, or pipe it in", err=True)
-        raise typer.Exit(BAD_USAGE)
+        raise typer.Exit(EXIT_BAD_USAGE)
     typer.echo(fingerprint(digest_of_key(key)))
 
 
@@ -140,8 +140,8 @@
 def status(
     admin: AdminOption, operator: OperatorOption, key: KeyOption, as_json: JsonOption = False
 ) -> None:
-    """Show the generation and on how many boxes it is in force."""
-    value = _ask(Target(admin, operator, key), "GET", "/status")
+    """Show the generation and the number of boxes on which it is in force."""
+    value = _request(Target(admin, operator, key), "GET", "/status")
     if as_json:
         _print_json(value)
         return
@@ -158,12 +158,12 @@
     admin: AdminOption,
     operator: OperatorOption,
     key: KeyOption,
-    day: Annotated[str, typer.Option(help="Like 20261202; today if absent.")] = "",
+    day: Annotated[str, typer.Option(help="A day such as 20261202; default today.")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show who planned and confirmed what, and every promotion, of one day."""
+    """Show the plans, their confirmations and the promotions of one day."""
     path = f"/audit?day={day}" if day else "/audit"
-    entries = _ask(Target(admin, operator, key), "GET", path)
+    entries = _request(Target(admin, operator, key), "GET", path)
     if as_json:
         _print_json(entries)
         return
@@ -185,8 +185,8 @@
 def groups(
     admin: AdminOption, operator: OperatorOption, key: KeyOption, as_json: JsonOption = False
 ) -> None:
-    """Show the groups, their endpoints and who leads them by the platform's record."""
-    value = _ask(Target(admin, operator, key), "GET", "/groups")
+    """Show the groups, their endpoints and their primaries by the platform's records."""
+    value = _request(Target(admin, operator, key), "GET", "/groups")
     if as_json:
         _print_json(value)
         return
@@ -194,10 +194,10 @@
     for row in value:
         record = row["record"] or {}
         for endpoint in row["group"]["endpoints"]:
-            leads = "primary" if record.get("primary") == endpoint["name"] else "replica"
+            role = "primary" if record.get("primary") == endpoint["name"] else "replica"
             leaving = "leaving" if endpoint["leaving"] else ""
             rows.append(
-                [row["group"]["name"], endpoint["name"], leads, record.get("term", 0), leaving]
+                [row["group"]["name"], endpoint["name"], role, record.get("term", 0), leaving]
             )
     _print_table(["group", "endpoint", "role", "term", ""], rows)
 
@@ -206,8 +206,8 @@
 def boxes(
     admin: AdminOption, operator: OperatorOption, key: KeyOption, as_json: JsonOption = False
 ) -> None:
-    """Show the platform's lagging list of boxes."""
-    value = _ask(Target(admin, operator, key), "GET", "/boxes")
+    """Show the platform's list of boxes, which may lag."""
+    value = _request(Target(admin, operator, key), "GET", "/boxes")
     if as_json:
         _print_json(value)
         return
@@ -223,43 +223,46 @@
     key: KeyOption,
     as_json: JsonOption = False,
 ) -> None:
-    """Show every step of the decisions on a request, as each box remembers them."""
-    found = [
-        _ask(Target(address, operator, key), "GET", f"/explain/{request_id}") for address in proxy
+    """Show every step of each box's recent decisions on a request."""
+    replies = [
+        _request(Target(address, operator, key), "GET", f"/explain/{request_id}")
+        for address in proxy
     ]
     if as_json:
-        _print_json(found)
+        _print_json(replies)
         return
-    for answer in found:
-        for decision in answer["decisions"]:
+    for reply in replies:
+        for decision in reply["decisions"]:
             took = f"{decision['took_ms']:.1f} ms"
-            typer.echo(f"{answer['box']}: {decision['outcome']} after {took}")
+            typer.echo(f"{reply['box']}: {decision['outcome']} after {took}")
             for step in decision["steps"]:
                 typer.echo(f"  {step['kind']:<22} {step['detail']}")
-    if not any(answer["decisions"] for answer in found):
-        typer.echo(f"no box asked remembers {request_id!r}; each keeps its last 4096", err=True)
-        raise typer.Exit(REFUSED)
+    if not any(reply["decisions"] for reply in replies):
+        typer.echo(
+            f"these boxes keep no decision on {request_id!r}; each keeps its last 4096", err=True
+        )
+        raise typer.Exit(EXIT_REFUSED)
 
 
 @app.command()
 def replay(trace: Annotated[Path, typer.Argument(help="A file that a proxy recorded.")]) -> None:
-    """Run a proxy's recorded decisions again and print every answer with its steps."""
+    """Replay a proxy's recorded decisions and print every answer with its steps."""
     try:
         header, lines = read_trace(trace)
     except (OSError, BadRequestError) as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(BAD_USAGE) from None
+        raise typer.Exit(EXIT_BAD_USAGE) from None
     steps = list(replay_trace(header, lines))
     for step in steps:
-        for given in step.answers:
-            answer = given.answer
+        for output in step.answers:
+            answer = output.answer
             typer.echo(f"{step.line.at:10.3f} {answer.request_id}: {answer.outcome.value}")
             for reason in answer.steps:
                 typer.echo(f"           {reason.kind.value:<22} {reason.detail}")
     different = sum(1 for step in steps if not step.same)
     typer.echo(f"{len(steps)} steps, {different} differ from what was recorded")
     if different:
-        raise typer.Exit(REFUSED)
+        raise typer.Exit(EXIT_REFUSED)
 
 
 def _events_of(files: list[Path]) -> list[LoggedEvent]:
@@ -273,9 +276,11 @@
 @app.command()
 def report(
     files: Annotated[list[Path], typer.Argument(help="Logs of one or more boxes.")],
-    svg: Annotated[Path | None, typer.Option(help="Write the tables there as a picture.")] = None,
+    svg: Annotated[
+        Path | None, typer.Option(help="Also write the tables to this SVG file.")
+    ] = None,
 ) -> None:
-    """Print who served reads, how long changes of primary took, and what was refused when."""
+    """Print where reads ran, how long failovers took, and what was refused when."""
     console = Console(record=svg is not None, width=REPORT_WIDTH)
     for table in tables_of(report_of(_events_of(files))):
         console.print(table)
@@ -288,7 +293,7 @@
     request_id: Annotated[str, typer.Argument(help="The request's id.")],
     files: Annotated[list[Path], typer.Argument(help="Logs of one or more boxes.")],
 ) -> None:
-    """Print a request's story from decision logs, with what its boxes believed meanwhile."""
+    """Print a request's timeline from decision logs, with the state changes of its boxes."""
     events = _events_of(files)
     timeline = timeline_of(request_id, events)
     if not timeline:
@@ -297,10 +302,10 @@
             "sampled, all others are logged up to a rate: look at the metrics of that moment",
             err=True,
         )
-        raise typer.Exit(REFUSED)
+        raise typer.Exit(EXIT_REFUSED)
     for event in timeline:
-        mark = ">" if event.fields.get("request") == request_id else " "
-        typer.echo(f"{mark} {event.sentence()}")
+        marker = ">" if event.fields.get("request") == request_id else " "
+        typer.echo(f"{marker} {event.sentence()}")
 
 
 @app.command()
@@ -312,19 +317,19 @@
     """Print the key of a business or an operator."""
     if purpose not in ("business", "operator"):
         typer.echo(f"{purpose!r} has no keys; use 'business' or 'operator'", err=True)
-        raise typer.Exit(BAD_USAGE)
+        raise typer.Exit(EXIT_BAD_USAGE)
     ring: KeyRing = settings_or_exit(settings).keys
     typer.echo(ring.mint(purpose, name))
 
 
 @app.command()
 def check(settings: Annotated[Path, typer.Argument(help="A box's settings file.")]) -> None:
-    """Check a settings file without running anything; tells every fault at once."""
+    """Check a settings file without running anything; reports every fault."""
     try:
         load_settings(settings)
     except SettingsErrorGroup as faults:
         print_faults(settings, faults)
-        raise typer.Exit(REFUSED) from None
+        raise typer.Exit(EXIT_REFUSED) from None
     typer.echo(f"{settings} is usable")
 
 
