--- a/wharftiller/tests/cli/test_wharfctl.py
+++ b/wharftiller/tests/cli/test_wharfctl.py
@@ -14,7 +14,7 @@
 
 
 class TestWharfctl:
-    def test_check_tells_every_fault_with_its_line(self, tmp_path: Path) -> None:
+    def test_check_reports_every_fault_with_its_line(self, tmp_path: Path) -> None:
         path = tmp_path / "box.json"
         path.write_text(BAD_VALUES)
         result = runner.invoke(app, ["check", str(path)])
--- a/wharftiller/tests/daemons/test_frozen_steward.py
+++ b/wharftiller/tests/daemons/test_frozen_steward.py
@@ -1,4 +1,4 @@
-"""A steward frozen past its lease at each step of a promotion harms nothing when it wakes."""
+"""A steward frozen past its lease at any step of a failover does no harm when it resumes."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from wharftiller.tests.fakes.ledger import assert_ledger
 from wharftiller.tests.fakes.world import Box, World, run_world
 
-LOOK_EVERY_S = 0.0002
+POLL_S = 0.0002
 FROZEN_S = 4.0
 BOOKINGS = 160
-PER_S = 25
+BOOKINGS_PER_S = 25
 
 
 async def freeze_at(world: World, step: type) -> Box:
@@ -31,14 +31,14 @@
             if group is not None and isinstance(group.step, step):
                 world.network.freeze(box.ip)
                 return box
-        await trio.sleep(LOOK_EVERY_S)
+        await trio.sleep(POLL_S)
 
 
-async def book_on(world: World) -> None:
+async def book_steadily(world: World) -> None:
     async with trio.open_nursery() as nursery:
         for number in range(BOOKINGS):
             nursery.start_soon(_book, world, number)
-            await trio.sleep(1 / PER_S)
+            await trio.sleep(1 / BOOKINGS_PER_S)
 
 
 async def _book(world: World, number: int) -> None:
@@ -49,12 +49,12 @@
 @pytest.mark.parametrize("step", [Reading, TakingTerm, Fencing, Promoting, Recording])
 def test_steward_frozen_while_the_primary_is_lost(step: type) -> None:
     async def scenario(world: World) -> None:
-        world.nursery.start_soon(book_on, world)
+        world.nursery.start_soon(book_steadily, world)
         await trio.sleep(0.5)
         primary = world.primary()
         world.endpoints[primary].freeze()
         world.network.kill(world.ips[primary])
-        await _freeze_and_judge(world, step)
+        await _freeze_and_check(world, step)
         assert world.primary() != primary
 
     run_world(scenario)
@@ -65,11 +65,11 @@
     async def scenario(world: World) -> None:
         for endpoint in world.endpoints.values():
             endpoint.options.lag_ms = 20
-        world.nursery.start_soon(book_on, world)
+        world.nursery.start_soon(book_steadily, world)
         await trio.sleep(0.5)
         target = next(name for name in world.endpoints if name != world.primary())
         world.nursery.start_soon(_change_primary, world, target)
-        await _freeze_and_judge(world, step)
+        await _freeze_and_check(world, step)
 
     run_world(scenario)
 
@@ -80,7 +80,7 @@
     )
 
 
-async def _freeze_and_judge(world: World, step: type) -> None:
+async def _freeze_and_check(world: World, step: type) -> None:
     with trio.fail_after(10):
         box = await freeze_at(world, step)
     await trio.sleep(FROZEN_S)
--- a/wharftiller/tests/daemons/test_random_faults.py
+++ b/wharftiller/tests/daemons/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults, alone and together, judged by the ledger."""
+"""Random faults, alone and combined, lose no acknowledged booking and repeat none."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 import trio
 
 from wharftiller.tests.fakes.ledger import assert_ledger
-from wharftiller.tests.fakes.world import Told, World, run_world
+from wharftiller.tests.fakes.world import Exchange, World, run_world
 
 BOOKINGS_PER_S = 25
-SECONDS = 8.0
+DURATION_S = 8.0
 SEEDS_IN_CI = (1, 2, 3, 40)
-"""Seed 40 left a group without a primary: fenced by a steward that gave up, yet answering."""
+"""Seed 40 covers a primary fenced by a steward that gave up: the group had no primary."""
 
 
 class Faults:
-    """Strikes at random hosts at random times; every fault ends at the end."""
+    """Injects faults at random hosts and times; `clear` ends them all."""
 
     def __init__(self, world: World, source: random.Random) -> None:
         self._world = world
         self._random = source
 
-    async def strike_for(self, seconds: float) -> None:
-        end = trio.current_time() + seconds
-        while trio.current_time() < end:
+    async def inject_for(self, seconds: float) -> None:
+        ends_at = trio.current_time() + seconds
+        while trio.current_time() < ends_at:
             await trio.sleep(self._random.uniform(0.2, 1.5))
-            await self._strike()
+            await self._inject()
 
-    async def _strike(self) -> None:
+    async def _inject(self) -> None:
         world, source = self._world, self._random
         endpoint = source.choice(sorted(world.endpoints))
         box = source.choice(sorted(world.boxes))
@@ -42,8 +42,8 @@
             case 2:
                 world.network.cut([world.ips[box]], [ip for ip in ips if ip != "10.0.0.2"])
             case 3:
-                hall = source.randrange(3)
-                inside = [ip for ip, centre in world.centres.items() if centre == hall]
+                data_centre = source.randrange(3)
+                inside = [ip for ip, index in world.data_centre_of.items() if index == data_centre]
                 world.network.cut(inside, [ip for ip in ips if ip not in [*inside, "10.0.0.2"]])
             case 4:
                 world.platform.faults.outage = not world.platform.faults.outage
@@ -54,9 +54,9 @@
             case 7:
                 await world.replace_box(box)
             case _:
-                self.end()
+                self.clear()
 
-    def end(self) -> None:
+    def clear(self) -> None:
         world = self._world
         world.network.heal()
         for ip in list(world.ips.values()):
@@ -64,19 +64,19 @@
         world.platform.faults.outage = False
 
 
-def run_faults(seed: int) -> list[Told]:
-    """Book through random faults; return everything callers were told."""
-    told: list[Told] = []
+def run_faults(seed: int) -> list[Exchange]:
+    """Book under random faults and return every exchange of the callers."""
+    exchanges: list[Exchange] = []
 
     async def scenario(world: World) -> None:
         source = random.Random(seed)
         faults = Faults(world, source)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(faults.strike_for, SECONDS)
-            for number in range(round(BOOKINGS_PER_S * SECONDS)):
-                nursery.start_soon(_one, world, source, number)
+            nursery.start_soon(faults.inject_for, DURATION_S)
+            for number in range(round(BOOKINGS_PER_S * DURATION_S)):
+                nursery.start_soon(_book_and_read, world, source, number)
                 await trio.sleep(1 / BOOKINGS_PER_S)
-        faults.end()
+        faults.clear()
         for endpoint in world.endpoints.values():
             endpoint.options.lag_ms = 2
         await trio.sleep(4)
@@ -84,14 +84,14 @@
             last = await world.ask(box, kind="write", statement={"append": "t", "value": "last"})
             assert last.outcome == "done", last.body
         assert_ledger(world)
-        told.extend(world.told)
+        exchanges.extend(world.exchanges)
 
     run_world(scenario, seed=seed)
-    return told
+    return exchanges
 
 
-async def _one(world: World, source: random.Random, number: int) -> None:
-    """Book once, ask again elsewhere with the same id when told to, then read it back."""
+async def _book_and_read(world: World, source: random.Random, number: int) -> None:
+    """Book, retry through other boxes under the same id unless done, then read it back."""
     name = f"b{number}"
     repeatable = source.random() < 0.5
     for _ in range(3):
@@ -122,5 +122,5 @@
 
 @pytest.mark.parametrize("seed", SEEDS_IN_CI)
 def test_random_faults_lose_and_double_nothing(seed: int) -> None:
-    told = run_faults(seed)
-    assert sum(1 for each in told if each.outcome == "done") > 50
+    exchanges = run_faults(seed)
+    assert sum(1 for each in exchanges if each.outcome == "done") > 50
--- a/wharftiller/tests/daemons/test_real_processes.py
+++ b/wharftiller/tests/daemons/test_real_processes.py
@@ -1,4 +1,4 @@
-"""The real processes, killed, frozen and stopped; no claim about time is made here."""
+"""Real processes, killed, frozen and stopped; no assertion is about time."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 from demo import KEYS, POOL, Demo  # type: ignore[import-not-found]  # noqa: E402
 
-DONE_WITHIN_S = 90.0
-"""Time within which a booking is done on a machine of any load, in seconds."""
+DONE_TIMEOUT_S = 90.0
+"""Longest time for a booking on a loaded machine, in seconds."""
 
 RECHECK_S = 0.1
-"""Time between tries, in seconds."""
+"""Time between attempts, in seconds."""
 
 BIN = Path(sys.executable).parent
 
 
 class Processes:
-    """The processes of a layout, started here and ended by id."""
+    """The processes of a layout, started and ended by id."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -91,14 +91,13 @@
 
 
 async def book_until_done(demo: Demo, box: str, name: str, **fields: Any) -> dict[str, Any]:
-    """Book until it is known to be done, as a careful caller does.
+    """Book until the booking is acknowledged.
 
-    A loaded machine can delay any process for long enough that a booking is refused, or its
-    outcome not known: neither is a loss. A refused one is booked under a new id, an
-    unknown one is asked for under its own, so that a booking that ran never runs again.
+    On a loaded machine a booking may be refused, or its outcome be unknown. A refused one is
+    retried under a new id, an unknown one under its own, so that none runs twice.
     """
     attempt = 0
-    with trio.fail_after(DONE_WITHIN_S):
+    with trio.fail_after(DONE_TIMEOUT_S):
         while True:
             statement = {"append": "tour", "value": name}
             answer: dict[str, Any] = await demo.ask(
@@ -115,8 +114,8 @@
             await trio.sleep(RECHECK_S)
 
 
-async def tourists(demo: Demo, box: str, session: str) -> Any:
-    with trio.fail_after(DONE_WITHIN_S):
+async def list_tourists(demo: Demo, box: str, session: str) -> Any:
+    with trio.fail_after(DONE_TIMEOUT_S):
         while True:
             answer = await demo.ask(
                 box,
@@ -138,12 +137,12 @@
             await book_until_done(demo, "box-1", "Ivan")
             processes.signal(await demo.primary_of("sofia-1"), signal.SIGKILL)
             booked = await book_until_done(demo, "box-2", "Ana", repeatable=True)
-            assert await tourists(demo, "box-1", booked["session"]) == ["Ivan", "Ana"]
+            assert await list_tourists(demo, "box-1", booked["session"]) == ["Ivan", "Ana"]
 
         run(processes, scenario)
 
     def test_a_booking_refused_during_a_freeze_is_not_kept(self, processes: Processes) -> None:
-        """What was refused as not run is missing, what was booked again is there once."""
+        """A booking refused as not run is absent; the next one is there once."""
 
         async def scenario(demo: Demo) -> None:
             frozen = await demo.primary_of("sofia-1")
@@ -151,7 +150,7 @@
             first = await book(demo, "box-1", "Ivan", deadline_ms=300)
             processes.signal(frozen, signal.SIGCONT)
             again = await book_until_done(demo, "box-1", "Ana", repeatable=True)
-            listed = await tourists(demo, "box-2", again["session"])
+            listed = await list_tourists(demo, "box-2", again["session"])
             assert listed.count("Ana") == 1
             match first["outcome"]:
                 case "not_run":
@@ -176,7 +175,7 @@
             processes.signal("box-1-steward", signal.SIGCONT)
             await trio.sleep(1)
             later = await book_until_done(demo, "box-2", "Vera", session=booked["session"])
-            assert await tourists(demo, "box-1", later["session"]) == ["Ivan", "Ana", "Vera"]
+            assert await list_tourists(demo, "box-1", later["session"]) == ["Ivan", "Ana", "Vera"]
 
         run(processes, scenario)
 
@@ -186,10 +185,10 @@
             address = demo.layout["boxes"]["box-1"]["proxy"]
             clients = [HttpClient(TcpTransport(), address) for _ in range(21)]
             for client in clients:
-                # Answered, so the process itself has taken this connection.
-                await client.request("GET", "/ready", timeout_s=DONE_WITHIN_S)
+                # The reply shows that the process itself has accepted this connection.
+                await client.request("GET", "/ready", timeout_s=DONE_TIMEOUT_S)
 
-            async def one(number: int) -> None:
+            async def book_one(number: int) -> None:
                 body = {
                     "pool": POOL,
                     "business": "rila-tours",
@@ -200,16 +199,16 @@
                 }
                 headers = bearer_header(KEYS.mint("business", f"{POOL}/rila-tours"))
                 answer = await clients[number].request(
-                    "POST", "/statements", body, headers, timeout_s=DONE_WITHIN_S
+                    "POST", "/statements", body, headers, timeout_s=DONE_TIMEOUT_S
                 )
                 answers.append(answer.json())
 
             async with trio.open_nursery() as nursery:
                 for number in range(20):
-                    nursery.start_soon(one, number)
+                    nursery.start_soon(book_one, number)
                 await trio.sleep(0.01)
-                # Sent after the bookings, so they have been read when this is answered.
-                await clients[20].request("GET", "/ready", timeout_s=DONE_WITHIN_S)
+                # Sent after the bookings: its reply shows that they have been read.
+                await clients[20].request("GET", "/ready", timeout_s=DONE_TIMEOUT_S)
                 processes.signal("box-1-proxy", signal.SIGTERM)
             for client in clients:
                 await client.aclose()
--- a/wharftiller/tests/daemons/test_retries.py
+++ b/wharftiller/tests/daemons/test_retries.py
@@ -1,4 +1,4 @@
-"""Callers that come back when told to, after a pause of the primary."""
+"""Callers that retry after the given time do not overload a primary after a pause."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from wharftiller.tests.fakes.world import World, run_world
 
 CALLERS = 120
-MOST_ASKS = 12
+MAX_ATTEMPTS = 12
 
 
 class TestRetries:
-    def test_pause_is_not_followed_by_a_storm(self) -> None:
-        asks: Counter[str] = Counter()
+    def test_pause_is_not_followed_by_a_retry_storm(self) -> None:
+        attempts: Counter[str] = Counter()
         booked: list[str] = []
 
         async def caller(world: World, number: int) -> None:
             box = f"box-{number % 3 + 1}"
             business = world.size.businesses[number % 4]
             serial = 0
-            for _ in range(MOST_ASKS):
-                asks[str(number)] += 1
-                told = await world.ask(
+            for _ in range(MAX_ATTEMPTS):
+                attempts[str(number)] += 1
+                exchange = await world.ask(
                     box,
                     business,
                     kind="write",
@@ -32,11 +32,11 @@
                     statement={"append": "tour", "value": f"{number}-{serial}"},
                     deadline_ms=400,
                 )
-                if told.outcome == "done":
+                if exchange.outcome == "done":
                     booked.append(str(number))
                     return
-                serial += told.body.get("reason") == "barred"
-                await trio.sleep((told.body.get("retry_after_ms") or 1) / 1000)
+                serial += exchange.body.get("reason") == "barred"
+                await trio.sleep((exchange.body.get("retry_after_ms") or 1) / 1000)
 
         async def scenario(world: World) -> None:
             primary = world.ips[world.primary()]
@@ -51,4 +51,4 @@
 
         run_world(scenario)
         assert len(booked) == CALLERS
-        assert sum(asks.values()) / CALLERS < 4
+        assert sum(attempts.values()) / CALLERS < 4
--- a/wharftiller/tests/daemons/test_whole_path.py
+++ b/wharftiller/tests/daemons/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The daemons together: one booking, one failure, nothing lost."""
+"""All daemons together: sessions across boxes, failover and the first promotion."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
                 "box-2", kind="write", repeatable=True, statement={"append": "t", "value": "A"}
             )
             assert booked.outcome == "done"
-            assert booked.at - booked.asked_at < 4
+            assert booked.replied_at - booked.sent_at < 4
             seen = await world.ask("box-3", kind="read", statement={"get": "t"})
             assert seen.body["result"] == ["I", "A"]
 
--- a/wharftiller/tests/fakes/__init__.py
+++ b/wharftiller/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes at the interfaces: a network in memory and the daemons on it."""
+"""Fakes of the tests: daemons on an in-memory network, histories and a ledger."""
--- a/wharftiller/tests/fakes/histories.py
+++ b/wharftiller/tests/fakes/histories.py
@@ -1,8 +1,8 @@
 """Histories of three servers: writes, late replication, late elections, late reports.
 
-Every message is taken when it is sent and delivered at any later step, or never.
-The acknowledgement rule under test is passed in; the ledger is the list of
-acknowledged writes, judged against the log of every later primary.
+A message's content is fixed when it is sent; it is delivered at any later step, or never.
+The acknowledgement rule under test is a parameter. Every acknowledged write must be in the
+log of every later primary.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
 
 
 WEIGHTS = (10, 12, 14, 8, 8, 3, 12, 6, 6)
-"""Biased towards elections and late reports, where the rare losses are."""
+"""Weights of the operations; elections and late reports are frequent, as losses need both."""
 
 
 @attrs.frozen
 class Step:
-    """An operation and a number that picks whom it concerns."""
+    """An operation and a number that picks the servers or messages it applies to."""
 
     op: Op
     pick: int
@@ -53,11 +53,11 @@
 
 @attrs.define
 class _Election:
-    """One steward's attempt; its fences may still arrive once it has chosen."""
+    """One steward's election; its fences may still arrive after it has chosen a primary."""
 
     term: int
     replies: dict[int, Report] = attrs.field(factory=dict)
-    over: bool = False
+    is_over: bool = False
 
 
 @attrs.define
@@ -77,7 +77,7 @@
 
 @attrs.define
 class History:
-    """Three servers, what is under way between them, and the ledger."""
+    """Three servers, the messages in flight and the acknowledged and lost writes."""
 
     rule: Rule
     majority: int = MAJORITY
@@ -101,14 +101,14 @@
         self.servers[0].promote(1)
 
     def run(self, steps: list[Step]) -> History:
-        """Take every step; a step that has nobody to concern does nothing."""
+        """Apply the steps until a write is lost; a step that applies to nothing is skipped."""
         for step in steps:
-            self._take(step.op, step.pick)
+            self._apply(step.op, step.pick)
             if self.lost:
                 break
         return self
 
-    def _take(self, op: Op, pick: int) -> None:
+    def _apply(self, op: Op, pick: int) -> None:
         match op:
             case Op.WRITE:
                 self._write(pick % SERVERS)
@@ -161,9 +161,9 @@
 
     def _choose(self, pick: int) -> None:
         election = self.elections[pick]
-        if election.over or len(election.replies) < self.majority:
+        if election.is_over or len(election.replies) < self.majority:
             return
-        election.over = True
+        election.is_over = True
         chosen = max(election.replies, key=lambda n: (election.replies[n].log_position, n))
         self.promotions.append((chosen, election.term))
 
@@ -180,26 +180,26 @@
 
 
 def random_steps(source: random.Random, length: int) -> list[Step]:
-    """Return a history's steps, biased towards elections and late reports."""
+    """Return random steps, weighted by `WEIGHTS`."""
     ops = source.choices(list(Op), WEIGHTS, k=length)
     return [Step(op, source.randrange(1_000)) for op in ops]
 
 
 def shortened(steps: list[Step], loses: Callable[[list[Step]], bool]) -> list[Step]:
-    """Return a shortest part of ``steps`` that still loses, dropping one at a time."""
-    again = True
-    while again:
-        again = False
+    """Return ``steps`` without those that the loss does not need, dropping one at a time."""
+    is_shorter = True
+    while is_shorter:
+        is_shorter = False
         for number in range(len(steps)):
             fewer = steps[:number] + steps[number + 1 :]
             if loses(fewer):
-                steps, again = fewer, True
+                steps, is_shorter = fewer, True
                 break
     return steps
 
 
 def write_steps(path: Path, steps: list[Step]) -> None:
-    """Keep a history as a recorded trace, one step a line."""
+    """Write a history as a recorded trace, one step per line."""
     lines = [json.dumps([step.op.name, step.pick]) for step in steps]
     path.write_text("\n".join(lines) + "\n", encoding="utf-8")
 
--- a/wharftiller/tests/fakes/world.py
+++ b/wharftiller/tests/fakes/world.py
@@ -1,4 +1,4 @@
-"""A deployment in one process and virtual time: real daemons over fakes."""
+"""A deployment in one process and virtual time: the real daemons on fakes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Size:
-    """What is deployed; the default is Sofia's shape with one group."""
+    """Size and latencies of a deployment; by default one group in three data centres."""
 
     groups: int = 1
     boxes: int = 3
@@ -57,7 +57,7 @@
 
 @attrs.define
 class Box:
-    """One box's daemons; ``scope`` ends them."""
+    """One box's daemons; cancelling ``scope`` stops them."""
 
     name: str
     ip: str
@@ -68,14 +68,14 @@
 
 
 @attrs.frozen(eq=False)
-class Told:
-    """What a caller asked and was told; ``after`` is the answer whose session it carried."""
+class Exchange:
+    """A caller's request and its reply; ``after`` is the exchange whose session it continues."""
 
-    at: float
-    asked_at: float
-    asked: dict[str, Any]
+    replied_at: float
+    sent_at: float
+    request: dict[str, Any]
     body: dict[str, Any]
-    after: Told | None = None
+    after: Exchange | None = None
 
     @property
     def outcome(self) -> str:
@@ -83,24 +83,24 @@
 
     @property
     def kind(self) -> str:
-        return str(self.asked["kind"])
+        return str(self.request["kind"])
 
     @property
     def business(self) -> str:
-        return str(self.asked["business"])
+        return str(self.request["business"])
 
     @property
     def request_id(self) -> str:
-        return str(self.asked["request_id"])
+        return str(self.request["request_id"])
 
     @property
     def key(self) -> Any:
-        statement = self.asked.get("statement") or {}
+        statement = self.request.get("statement") or {}
         return statement.get("append") or statement.get("get")
 
     @property
     def value(self) -> Any:
-        return (self.asked.get("statement") or {}).get("value")
+        return (self.request.get("statement") or {}).get("value")
 
 
 class World:
@@ -112,13 +112,13 @@
         self.nursery = nursery
         self.network = FakeNetwork(self._latency)
         self.ips: dict[str, str] = {"platform": PLATFORM, "client": CLIENT}
-        self.centres: dict[str, int] = {}
+        self.data_centre_of: dict[str, int] = {}
         self.platform = Platform(latency_s=0.001, list_lag_s=0.1)
         self.endpoints: dict[str, Endpoint] = {}
         self.boxes: dict[str, Box] = {}
-        self.told: list[Told] = []
-        self._numbers = itertools.count(1)
-        self._started = 0
+        self.exchanges: list[Exchange] = []
+        self._request_numbers = itertools.count(1)
+        self._boxes_started = 0
 
     def _latency(self, a: str, b: str) -> float:
         if a == b:
@@ -127,7 +127,7 @@
             return self.size.client_s
         if PLATFORM in (a, b):
             return self.size.between_s
-        same = self.centres.get(a) == self.centres.get(b)
+        same = self.data_centre_of.get(a) == self.data_centre_of.get(b)
         return 0.0002 if same else self.size.between_s
 
     # Starting -----------------------------------------------------------
@@ -136,8 +136,8 @@
         transport = self.network.host(PLATFORM)
         await self.nursery.start(serve_platform, self.platform, transport, f"{PLATFORM}:80")
         for number in range(1, self.size.groups + 1):
-            for place, letter in enumerate("abc"):
-                await self._start_endpoint(f"group-{number}-{letter}", place)
+            for data_centre, letter in enumerate("abc"):
+                await self._start_endpoint(f"group-{number}-{letter}", data_centre)
         for number in range(1, self.size.boxes + 1):
             self._prepare_box(f"box-{number}", (number - 1) % self.size.data_centres)
         self.list_boxes()
@@ -145,10 +145,10 @@
             await self._start_box(box)
         await self._configure()
 
-    async def _start_endpoint(self, name: str, place: int) -> None:
+    async def _start_endpoint(self, name: str, data_centre: int) -> None:
         ip = f"10.1.{len(self.endpoints)}.1"
         self.ips[name] = ip
-        self.centres[ip] = place
+        self.data_centre_of[ip] = data_centre
         options = EndpointOptions(
             max_connections=self.size.max_connections,
             service_ms=self.size.service_ms,
@@ -159,12 +159,12 @@
         self.endpoints[name] = endpoint
         await self.nursery.start(serve_endpoint, endpoint, transport, f"{ip}:5000", f"{ip}:5001")
 
-    def _prepare_box(self, name: str, centre: int, trace: TextIO | None = None) -> None:
+    def _prepare_box(self, name: str, data_centre: int, trace: TextIO | None = None) -> None:
         ip = f"10.2.{len(self.ips)}.1"
         self.ips[name] = ip
-        self.centres[ip] = centre
+        self.data_centre_of[ip] = data_centre
         settings = Settings(
-            box=BoxSettings(name, f"hall-{centre + 1}"),
+            box=BoxSettings(name, f"hall-{data_centre + 1}"),
             platform=PlatformSettings(f"{PLATFORM}:80", self.size.list_lag_s),
             keys=KEYS,
             proxy=ProxySettings(f"{ip}:7100", stop_unready_s=0.5),
@@ -176,8 +176,8 @@
             admin=AdminSettings(f"{ip}:7300", [OPERATOR, "second"]),
         )
         transport = self.network.host(ip)
-        self._started += 1
-        seed = self.seed * 1000 + self._started
+        self._boxes_started += 1
+        seed = self.seed * 1000 + self._boxes_started
         self.boxes[name] = Box(
             name,
             ip,
@@ -212,14 +212,14 @@
         for number in range(1, self.size.groups + 1):
             await self.intend({"kind": "create_group", "group": self.group_body(number)})
         groups = [f"group-{number}" for number in range(1, self.size.groups + 1)]
-        places = {
+        groups_by_business = {
             business: groups[index % len(groups)]
             for index, business in enumerate(self.size.businesses)
         }
         pool = {
             "name": POOL,
             "groups": groups,
-            "businesses": places,
+            "businesses": groups_by_business,
             "read_rule": {
                 "max_age_ms": self.size.max_age_ms,
                 "replica_wait_ms": self.size.replica_wait_ms,
@@ -235,11 +235,11 @@
             "endpoints": [
                 {
                     "name": f"group-{number}-{letter}",
-                    "data_centre": f"hall-{place + 1}",
+                    "data_centre": f"hall-{data_centre + 1}",
                     "address": f"{self.ips[f'group-{number}-{letter}']}:5000",
                     "control_address": f"{self.ips[f'group-{number}-{letter}']}:5001",
                 }
-                for place, letter in enumerate("abc")
+                for data_centre, letter in enumerate("abc")
             ],
         }
 
@@ -247,17 +247,17 @@
         for box in self.boxes.values():
             tables = box.proxy.core.tables
             leads = [group.primary for group in tables.groups.values()]
-            share_known = tables.listed_since is not None and (
+            is_share_known = tables.listed_since is not None and (
                 tables.listed_at - tables.listed_since >= 2 * tables.list_lag_s
             )
-            if len(leads) != self.size.groups or not all(leads) or not share_known:
+            if len(leads) != self.size.groups or not all(leads) or not is_share_known:
                 return False
         return True
 
-    # Acting -------------------------------------------------------------
+    # Operators and callers ----------------------------------------------
 
-    async def until(self, condition: Callable[[], bool], longest_s: float = 20.0) -> None:
-        with trio.fail_after(longest_s):
+    async def until(self, condition: Callable[[], bool], timeout_s: float = 20.0) -> None:
+        with trio.fail_after(timeout_s):
             while not condition():
                 await trio.sleep(0.01)
 
@@ -276,14 +276,14 @@
         return await self.admin("POST", f"/plans/{plan['plan']}/confirm", None, box)
 
     async def ask(
-        self, box: str, business: str = "rila", after: Told | None = None, **fields: Any
-    ) -> Told:
-        """Ask a box's proxy for a statement and note what the caller was told."""
-        asked_at = trio.current_time()
+        self, box: str, business: str = "rila", after: Exchange | None = None, **fields: Any
+    ) -> Exchange:
+        """Send a statement to a box's proxy and record the exchange."""
+        sent_at = trio.current_time()
         body = {
             "pool": POOL,
             "business": business,
-            "request_id": f"r{next(self._numbers)}",
+            "request_id": f"r{next(self._request_numbers)}",
             "deadline_ms": 5_000,
             **fields,
         }
@@ -294,17 +294,17 @@
         timeout_s = body["deadline_ms"] / 1000 + 1
         try:
             answer = await client.request("POST", "/statements", body, headers, timeout_s=timeout_s)
-            answered = answer.json()
+            reply = answer.json()
         except ExchangeError as error:
-            answered = {"outcome": "lost", "message": str(error)}
+            reply = {"outcome": "lost", "message": str(error)}
         finally:
             await client.aclose()
-        told = Told(trio.current_time(), asked_at, body, answered, after)
-        self.told.append(told)
-        return told
+        exchange = Exchange(trio.current_time(), sent_at, body, reply, after)
+        self.exchanges.append(exchange)
+        return exchange
 
     def primary(self, group: int = 1) -> str:
-        """Return the server that leads the highest term."""
+        """Return the server that is primary in the highest term."""
         names = [f"group-{group}-{letter}" for letter in "abc"]
         return max(names, key=lambda name: self.endpoints[name].database.leads_in)
 
@@ -313,10 +313,10 @@
         self.network.kill(self.ips[name])
 
     async def replace_box(self, name: str, trace: TextIO | None = None) -> Box:
-        """Kill a box and start an empty one in its place."""
+        """Kill a box and start a new one without its state."""
         self.kill_box(name)
         old = self.boxes.pop(name)
-        self._prepare_box(name, self.centres[old.ip], trace)
+        self._prepare_box(name, self.data_centre_of[old.ip], trace)
         await self._start_box(self.boxes[name])
         self.list_boxes()
         return self.boxes[name]
@@ -325,7 +325,7 @@
 def run_world(
     scenario: Callable[[World], Awaitable[None]], size: Size | None = None, seed: int = 1
 ) -> None:
-    """Run ``scenario`` on a started deployment, in virtual time and always the same way."""
+    """Run ``scenario`` on a started deployment, deterministically in virtual time."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
--- a/wharftiller/tests/scenarios/runner.py
+++ b/wharftiller/tests/scenarios/runner.py
@@ -10,7 +10,7 @@
 
 from wharftiller.core.messages import Tick
 from wharftiller.tests.fakes.ledger import assert_ledger
-from wharftiller.tests.fakes.world import POOL, Size, Told, World, run_world
+from wharftiller.tests.fakes.world import POOL, Exchange, Size, World, run_world
 from wharftiller.tests.scenarios.steps import (
     Ask,
     Await,
@@ -26,7 +26,7 @@
     parse_scenario,
 )
 
-ANSWER_S = 70.0
+ANSWER_TIMEOUT_S = 70.0
 
 
 def run_scenario(path: Path, seed: int = 1) -> None:
@@ -51,8 +51,8 @@
 class _Runner:
     def __init__(self, world: World) -> None:
         self._world = world
-        self._answers: dict[str, list[Told]] = {}
-        self._done: dict[str, trio.Event] = {}
+        self._exchanges: dict[str, list[Exchange]] = {}
+        self._finished: dict[str, trio.Event] = {}
         self._names: dict[str, str] = {}
         self._plans: dict[str, Any] = {}
 
@@ -61,20 +61,20 @@
             case Deploy():
                 return
             case Ask():
-                self._begin(step.name)
+                self._register(step.name)
                 self._world.nursery.start_soon(self._ask, step)
                 await trio.sleep(0)
             case Load():
-                self._begin(step.name)
+                self._register(step.name)
                 self._world.nursery.start_soon(self._load, step)
             case Await(name):
-                await self._answered(name)
+                await self._wait_for_answers(name)
             case Wait(seconds):
                 await trio.sleep(seconds)
             case Name(name, target):
                 self._names[name] = self._host(target)
             case Fault():
-                await self._fault(step)
+                await self._inject(step)
             case Operate():
                 await self._operate(step)
             case Expect():
@@ -82,46 +82,46 @@
 
     # Callers ------------------------------------------------------------
 
-    def _begin(self, name: str) -> None:
-        assert name not in self._done, f"{name} is named twice"
-        self._answers[name] = []
-        self._done[name] = trio.Event()
+    def _register(self, name: str) -> None:
+        assert name not in self._finished, f"{name} is named twice"
+        self._exchanges[name] = []
+        self._finished[name] = trio.Event()
 
-    async def _answered(self, name: str) -> list[Told]:
-        with trio.fail_after(ANSWER_S):
-            await self._done[name].wait()
-        return self._answers[name]
+    async def _wait_for_answers(self, name: str) -> list[Exchange]:
+        with trio.fail_after(ANSWER_TIMEOUT_S):
+            await self._finished[name].wait()
+        return self._exchanges[name]
 
     async def _ask(self, step: Ask) -> None:
         options = dict(step.options)
         after = None
         session_of = options.pop("session_of", None)
         if session_of is not None:
-            after = (await self._answered(session_of))[-1]
+            after = (await self._wait_for_answers(session_of))[-1]
         in_transaction = options.pop("in_transaction", None)
         if in_transaction is not None:
-            told = (await self._answered(in_transaction))[-1]
-            options["transaction"] = told.body["transaction"]
+            begun = (await self._wait_for_answers(in_transaction))[-1]
+            options["transaction"] = begun.body["transaction"]
         fields = _statement(step.kind, options, step.name)
-        told = await self._world.ask(step.box, step.business, after, **fields)
-        self._answers[step.name].append(told)
-        self._done[step.name].set()
+        exchange = await self._world.ask(step.box, step.business, after, **fields)
+        self._exchanges[step.name].append(exchange)
+        self._finished[step.name].set()
 
     async def _load(self, step: Load) -> None:
-        """Ask at a steady rate through every box, whatever the answers."""
+        """Send requests at a steady rate through every box, whatever the replies."""
         per_s = step.bookings_per_s + step.lookups_per_s
         total = round(per_s * step.seconds)
         boxes = list(self._world.boxes)
         async with trio.open_nursery() as nursery:
             for number in range(total):
-                booking = number * step.bookings_per_s // per_s != (
+                is_booking = number * step.bookings_per_s // per_s != (
                     (number + 1) * step.bookings_per_s // per_s
                 )
-                kind = "book" if booking else "read"
+                kind = "book" if is_booking else "read"
                 box = boxes[number % len(boxes)]
                 nursery.start_soon(self._load_one, step, kind, box, number)
                 await trio.sleep(1 / per_s)
-        self._done[step.name].set()
+        self._finished[step.name].set()
 
     async def _load_one(self, step: Load, kind: str, box: str, number: int) -> None:
         options = dict(step.options)
@@ -130,8 +130,8 @@
             options.pop("max_age_ms", None)
         fields = _statement(kind, options, f"{step.name}-{number}")
         business = businesses[number % len(businesses)]
-        told = await self._world.ask(box, business, **fields)
-        self._answers[step.name].append(told)
+        exchange = await self._world.ask(box, business, **fields)
+        self._exchanges[step.name].append(exchange)
 
     # Hosts --------------------------------------------------------------
 
@@ -146,7 +146,7 @@
             case _:
                 return self._names.get(target.name, target.name)
 
-    def _hosts(self, targets: tuple[Target, ...], besides: tuple[str, ...] = ()) -> list[str]:
+    def _hosts(self, targets: tuple[Target, ...], excluded: tuple[str, ...] = ()) -> list[str]:
         ips: list[str] = []
         world = self._world
         for target in targets:
@@ -154,19 +154,19 @@
                 case "all_boxes":
                     ips.extend(box.ip for box in world.boxes.values())
                 case "hall":
-                    place = int(target.name) - 1
-                    ips.extend(ip for ip, centre in world.centres.items() if centre == place)
+                    hall = int(target.name) - 1
+                    ips.extend(ip for ip, index in world.data_centre_of.items() if index == hall)
                 case "everything_else":
-                    ips.extend(ip for ip in world.ips.values() if ip not in besides)
+                    ips.extend(ip for ip in world.ips.values() if ip not in excluded)
                 case _:
                     ips.append(world.ips[self._host(target)])
         return ips
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         world = self._world
         hosts = self._hosts(fault.targets)
         names = [self._host(target) for target in fault.targets]
-        match fault.word:
+        match fault.kind:
             case "kill":
                 self._kill(names[0])
             case "freeze":
@@ -190,13 +190,13 @@
             case "stop":
                 world.boxes[names[0]].proxy.stop()
             case "outage":
-                await self._control({"outage": True})
+                await self._set_platform_faults({"outage": True})
             case "back":
-                await self._control({"outage": False, "slow_ms": 0})
+                await self._set_platform_faults({"outage": False, "slow_ms": 0})
             case "slow":
-                await self._control({"slow_ms": round(fault.seconds * 1000)})
+                await self._set_platform_faults({"slow_ms": round(fault.seconds * 1000)})
             case "lose":
-                await self._control({"lose_answers": fault.number})
+                await self._set_platform_faults({"lose_answers": fault.number})
             case "pause_steward":
                 self._pause_steward(fault.box, fault.seconds)
 
@@ -208,27 +208,27 @@
             world.endpoints[name].freeze()
             world.network.kill(world.ips[name])
 
-    async def _control(self, body: dict[str, Any]) -> None:
+    async def _set_platform_faults(self, body: dict[str, Any]) -> None:
         for name, value in body.items():
             setattr(self._world.platform.faults, name, value)
 
     def _pause_steward(self, box: str, seconds: float) -> None:
-        """Have the steward see and do nothing, then go on with what has come meanwhile."""
+        """Buffer the steward's inputs but for ticks, then let it handle them."""
         steward = self._world.boxes[box].steward
         handle = steward.core.handle
-        held: list[Any] = []
+        buffered: list[Any] = []
 
-        def paused(message: Any, now: float) -> Any:
+        def buffer_input(message: Any, now: float) -> Any:
             if not isinstance(message, Tick):
-                held.append(message)
+                buffered.append(message)
             return []
 
-        steward.core.handle = paused  # type: ignore[method-assign]
+        steward.core.handle = buffer_input  # type: ignore[method-assign]
 
         async def resume() -> None:
             await trio.sleep(seconds)
             steward.core.handle = handle  # type: ignore[method-assign]
-            for message in held:
+            for message in buffered:
                 steward.feed(message)
 
         self._world.nursery.start_soon(resume)
@@ -237,10 +237,10 @@
 
     async def _operate(self, step: Operate) -> None:
         world = self._world
-        match step.word:
+        match step.kind:
             case "change_primary" | "drain":
                 assert step.target is not None
-                kind = "drain_endpoint" if step.word == "drain" else "change_primary"
+                kind = "drain_endpoint" if step.kind == "drain" else "change_primary"
                 endpoint = self._host(step.target)
                 intent: dict[str, Any] = {
                     "kind": kind,
@@ -264,15 +264,15 @@
 
     async def _expect(self, expect: Expect) -> None:
         world = self._world
-        match expect.word:
+        match expect.kind:
             case "outcome":
-                _assert_outcome((await self._answered(expect.name))[-1], expect)
+                _assert_outcome((await self._wait_for_answers(expect.name))[-1], expect)
             case "result":
-                told = (await self._answered(expect.name))[-1]
-                assert (told.body.get("result") or []) == list(expect.values), told.body
+                exchange = (await self._wait_for_answers(expect.name))[-1]
+                assert (exchange.body.get("result") or []) == list(expect.values), exchange.body
             case "replica":
-                told = (await self._answered(expect.name))[-1]
-                assert told.body.get("endpoint") not in (None, world.primary()), told
+                exchange = (await self._wait_for_answers(expect.name))[-1]
+                assert exchange.body.get("endpoint") not in (None, world.primary()), exchange
             case "error":
                 assert self._plans[expect.name].get("error") == expect.because, self._plans
             case "generation":
@@ -287,53 +287,57 @@
                 leads = [each.database.leads_in for each in world.endpoints.values()]
                 assert max(leads) == expect.number, leads
             case "in_force":
-                await self._in_force(expect)
+                await self._expect_in_force(expect)
             case "no_work":
-                await self._no_work(expect)
+                await self._expect_no_work(expect)
             case "gap":
-                await self._gap(expect)
+                await self._expect_gap(expect)
             case "all":
-                outcomes = {told.outcome for told in await self._answered(expect.name)}
-                assert outcomes == {expect.outcome}, self._odd_answers(expect)
+                outcomes = {each.outcome for each in await self._wait_for_answers(expect.name)}
+                assert outcomes == {expect.outcome}, self._unexpected_replies(expect)
             case "ledger":
                 assert_ledger(world)
 
-    def _odd_answers(self, expect: Expect) -> list[Any]:
-        return [told.body for told in self._answers[expect.name] if told.outcome != expect.outcome][
-            :3
-        ]
+    def _unexpected_replies(self, expect: Expect) -> list[Any]:
+        return [
+            each.body for each in self._exchanges[expect.name] if each.outcome != expect.outcome
+        ][:3]
 
-    async def _in_force(self, expect: Expect) -> None:
-        def everywhere() -> bool:
+    async def _expect_in_force(self, expect: Expect) -> None:
+        def is_in_force() -> bool:
             return all(
                 box.proxy.core.tables.configuration.generation == expect.number
                 for box in self._world.boxes.values()
             )
 
-        await self._world.until(everywhere, expect.seconds or 0)
+        await self._world.until(is_in_force, expect.seconds or 0)
 
-    async def _no_work(self, expect: Expect) -> None:
+    async def _expect_no_work(self, expect: Expect) -> None:
         assert expect.target is not None
         endpoint = self._world.endpoints[self._host(expect.target)]
         before = endpoint.statements
         await trio.sleep(expect.seconds or 0)
         assert endpoint.statements == before, endpoint.statements - before
 
-    async def _gap(self, expect: Expect) -> None:
+    async def _expect_gap(self, expect: Expect) -> None:
         """Check the longest time between two acknowledged bookings of a load."""
-        told = await self._answered(expect.name)
-        at = sorted(each.at for each in told if each.kind == "write" and each.outcome == "done")
+        exchanges = await self._wait_for_answers(expect.name)
+        at = sorted(
+            each.replied_at for each in exchanges if each.kind == "write" and each.outcome == "done"
+        )
         longest = max(later - earlier for earlier, later in itertools.pairwise(at))
         assert expect.seconds is not None
         assert longest < expect.seconds, longest
 
 
-def _assert_outcome(told: Told, expect: Expect) -> None:
-    assert told.outcome == expect.outcome, told.body
+def _assert_outcome(exchange: Exchange, expect: Expect) -> None:
+    assert exchange.outcome == expect.outcome, exchange.body
     if expect.because is not None:
-        assert told.body.get("reason") == expect.because, told.body
+        assert exchange.body.get("reason") == expect.because, exchange.body
     if expect.seconds is not None:
-        assert told.at - told.asked_at <= expect.seconds, told.at - told.asked_at
+        assert exchange.replied_at - exchange.sent_at <= expect.seconds, (
+            exchange.replied_at - exchange.sent_at
+        )
 
 
 def _statement(kind: str, options: dict[str, Any], name: str) -> dict[str, Any]:
--- a/wharftiller/tests/scenarios/steps.py
+++ b/wharftiller/tests/scenarios/steps.py
@@ -61,9 +61,9 @@
 
 @attrs.frozen
 class Fault:
-    """A fault by its word, with its targets, a time and a number where it takes them."""
+    """A fault of a kind, with its targets, a time and a number where it takes them."""
 
-    word: str
+    kind: str
     targets: tuple[Target, ...] = ()
     others: tuple[Target, ...] = ()
     seconds: float = 0.0
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class Operate:
-    word: str
+    kind: str
     box: str
     target: Target | None = None
     operator: str = "ops"
@@ -84,9 +84,9 @@
 
 @attrs.frozen
 class Expect:
-    """An expectation by its word."""
+    """An expectation of a kind."""
 
-    word: str
+    kind: str
     name: str = ""
     target: Target | None = None
     outcome: str = ""
@@ -105,7 +105,7 @@
 
 
 class _Steps(lark.Transformer[lark.Token, Any]):
-    """Turns the tree into steps."""
+    """Turns the syntax tree into steps."""
 
     def start(self, steps: list[Any]) -> list[Any]:
         return [step for step in steps if step is not None]
@@ -149,16 +149,16 @@
         return tuple(parts)
 
     def __default__(self, data: Any, children: list[Any], _: Any) -> Any:
-        word = str(data)
-        if word in _OPTIONS:
-            return _OPTIONS[word](children)
-        if word in _TARGETS:
-            return Target(word, str(children[0]) if children else "")
-        if word in _OPERATIONS:
-            return _OPERATIONS[word](children)
-        if word.startswith("expect_"):
-            return _expect(word.removeprefix("expect_"), children)
-        return _fault(word, children)
+        rule = str(data)
+        if rule in _OPTIONS:
+            return _OPTIONS[rule](children)
+        if rule in _TARGETS:
+            return Target(rule, str(children[0]) if children else "")
+        if rule in _OPERATIONS:
+            return _OPERATIONS[rule](children)
+        if rule.startswith("expect_"):
+            return _expect(rule.removeprefix("expect_"), children)
+        return _fault(rule, children)
 
 
 _OPTIONS: dict[str, Callable[[list[Any]], tuple[str, Any]]] = {
@@ -187,8 +187,8 @@
 }
 
 
-def _fault(word: str, parts: list[Any]) -> Fault:
-    fault = Fault(word)
+def _fault(kind: str, parts: list[Any]) -> Fault:
+    fault = Fault(kind)
     for part in parts:
         match part:
             case tuple() if fault.targets:
@@ -206,8 +206,8 @@
     return fault
 
 
-def _expect(word: str, parts: list[Any]) -> Expect:
-    expect = Expect(word)
+def _expect(kind: str, parts: list[Any]) -> Expect:
+    expect = Expect(kind)
     for part in parts:
         match part:
             case tuple():
--- a/wharftiller/tests/scenarios/test_scenarios.py
+++ b/wharftiller/tests/scenarios/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario file, in virtual time."""
+"""Runs every scenario file in virtual time."""
 
 from __future__ import annotations
 
