--- a/wharftiller/tests/platform/test_failovers.py
+++ b/wharftiller/tests/platform/test_failovers.py
@@ -1,4 +1,4 @@
-"""Changes of primary: lost and leaving primaries, and replicas that hold what was acknowledged."""
+"""Failovers: lost and leaving primaries, and the replicas that may succeed them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 class TestUnplanned:
-    def test_a_dark_primary_is_replaced_within_seconds(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_unreachable_primary_is_replaced_within_seconds(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("WRITE seat1 anna")
@@ -30,32 +30,32 @@
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
             assert len({name for name, _, _ in group.promotions}) == 1
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_promotion_is_ordered_soon_after_the_primary_counts_as_lost(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             world.kill_server(group.primary)
             killed_at = trio.current_time()
             while not group.promotions:
                 await trio.sleep(0.01)
-            # Nobody asks it here: 0.8 s until a probe is due and 0.3 s between looks.
-            asked_at = killed_at + QUIET_PRIMARY_S + PROBE_S
-            assert trio.current_time() - asked_at < UNREACHABLE_S + 0.3
+            # No statement detects the loss: a probe does, and 0.3 s pass between checks.
+            probed_at = killed_at + QUIET_PRIMARY_S + PROBE_S
+            assert trio.current_time() - probed_at < UNREACHABLE_S + 0.3
 
-        run_in_world(story, boxes=8)
+        run_in_world(scenario, boxes=8)
 
-    def test_a_primary_that_another_box_hears_is_not_replaced(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_primary_that_another_box_reaches_is_not_replaced(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             world.network.cut(["10.2.0.1"], ["10.1.0.1", "10.1.0.2"])
             await trio.sleep(5)
             assert group.promotions == []
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_the_most_advanced_replica_takes_over(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             group.servers[2].deaf = True
             caller = await world.call(world.boxes["box-1"], "primary")
@@ -65,19 +65,19 @@
             await trio.sleep(5)
             assert [name for name, _, _ in group.promotions] == ["seats-1"]
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_silent_box_delays_the_change_by_its_lease(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_unresponsive_box_delays_the_failover_by_its_lease(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             await trio.sleep(20)
             silent = world.boxes["box-3"]
             world.network.cut([silent.ip], ["10.1.0.1", "10.1.0.2", STORE_IP])
             started = trio.current_time()
             acknowledged_at = started
-            group.nursery.start_soon(kill_for_the_others, world)  # type: ignore[union-attr]
+            group.nursery.start_soon(cut_off_primary, world)  # type: ignore[union-attr]
             while not group.promotions:
-                # A session of its own a write: the silent box closes those at rest in time.
+                # A new session for each write: an isolated box closes idle sessions.
                 caller = await world.call(silent, "primary")
                 if (await caller.ask("WRITE seat1 x"))[0] == "ROW written":
                     acknowledged_at = trio.current_time()
@@ -89,13 +89,13 @@
             caller = await world.call(silent, "primary")
             assert (await caller.ask("WRITE seat1 y"))[0] != "ROW written"
 
-        async def kill_for_the_others(world: World) -> None:
+        async def cut_off_primary(world: World) -> None:
             world.network.cut(["10.2.0.1"], ["10.1.0.1", "10.1.0.2"])
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_primary_that_answers_again_goes_on_leading(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_primary_that_answers_again_remains_primary(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             await trio.sleep(20)
             world.network.cut([world.boxes["box-3"].ip], ["10.1.0.1", "10.1.0.2"])
@@ -107,14 +107,14 @@
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
 class TestSynchronousReplicas:
-    def test_a_replica_that_cannot_be_asked_is_waited_for(self) -> None:
-        """It may be the only one that holds an acknowledged write."""
+    def test_a_failover_waits_for_an_unreachable_replica(self) -> None:
+        """The replica may be the only one that has an acknowledged write."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             group.servers[1].deaf = True
             caller = await world.call(world.boxes["box-1"], "primary")
@@ -126,16 +126,16 @@
             assert group.promotions == []
             world.network.heal()
             world.kill_server(group.servers[0])
-            # The new primary needs a replica too.
+            # The new primary needs a synchronous replica too.
             group.servers[1].deaf = False
             await write_until_done(caller, "WRITE seat2 boris", 8.0)
             assert {name for name, _, _ in group.promotions} == {"seats-2"}
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_in_world(story, groups=[make_group(sync_replicas=1)])
+        run_in_world(scenario, groups=[make_group(sync_replicas=1)])
 
-    def test_a_leaving_primary_hands_over_to_a_replica_that_holds_everything(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_leaving_primary_fails_over_to_a_replica_that_lacks_nothing(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             group.servers[1].deaf = True
             caller = await world.call(world.boxes["box-1"], "primary")
@@ -146,17 +146,17 @@
             assert {name for name, _, _ in group.promotions} == {"seats-2"}
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_in_world(story, groups=[make_group(sync_replicas=1)])
+        run_in_world(scenario, groups=[make_group(sync_replicas=1)])
 
 
-class TestLeavingWithoutAWord:
-    """An endpoint's entry goes although it never said that it is leaving."""
+class TestUnannouncedRemoval:
+    """An endpoint's entry is removed although the endpoint was never marked as leaving."""
 
     DRAIN_S = 7.0
-    """Time from the entry's end after which nothing may be sent, in seconds."""
+    """Time from the entry's removal after which nothing may be sent, in seconds."""
 
-    def test_a_primary_hands_over_before_it_ends(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_removed_primary_is_replaced_before_it_ends(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             old = group.primary
             caller = await world.call(world.boxes["box-1"], "primary")
@@ -177,15 +177,15 @@
             assert len(old.started) == started
             assert (await caller.ask("READ seat0"))[0] == "ROW anna"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_replica_gets_nothing_after_the_bound(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_removed_replica_gets_no_statements_after_the_bound(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             replica = group.servers[1]
-            desk = await world.call(world.boxes["box-2"], "primary")
+            writer = await world.call(world.boxes["box-2"], "primary")
             reader = await world.call(world.boxes["box-2"], "bounded_staleness")
-            await desk.ask("READ seat1")
+            await writer.ask("READ seat1")
             world.store.remove("servers", replica.name)
             await trio.sleep(self.DRAIN_S)
             started = len(replica.started)
@@ -193,10 +193,10 @@
                 assert (await reader.ask("READ seat1"))[0] == "ROW none"
             assert len(replica.started) == started
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_an_entry_that_lapsed_while_the_store_was_away_changes_nothing(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_entry_that_lapsed_during_an_outage_causes_no_failover(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             world.store.mode = StoreMode.AWAY
             await trio.sleep(4.0)
@@ -207,12 +207,12 @@
             await trio.sleep(6.0)
             assert group.promotions == []
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
 class TestPlanned:
-    def test_a_leaving_primary_hands_over_without_losing_a_write(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_planned_failover_loses_no_write(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(world.boxes["box-1"], "primary")
             answers: list[str] = []
@@ -224,13 +224,13 @@
             done = [n for n, each in enumerate(answers) if each == "ROW written"]
             assert len(done) == len(answers)
             assert group.primary.name != "seats-0"
-            held = {thing for record in group.primary.log for thing, _ in record.writes}
-            assert {f"seat{number}" for number in done} <= held
+            written = {key for record in group.primary.log for key, _ in record.writes}
+            assert {f"seat{number}" for number in done} <= written
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_an_open_transaction_may_end_first(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_planned_failover_waits_for_an_open_transaction(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(world.boxes["box-2"], "primary")
             await caller.ask("BEGIN")
@@ -243,10 +243,10 @@
             assert group.primary.name != "seats-0"
             assert group.primary.value("seat1") == "anna"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_silent_box_does_not_stop_the_others_writes_meanwhile(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_unresponsive_box_does_not_block_the_writes_of_others(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             await trio.sleep(20)
             await world.kill_box(world.boxes["box-3"])
@@ -263,4 +263,4 @@
             assert longest_s < 2.0
             assert len(group.promotions) == 1
 
-        run_in_world(story)
+        run_in_world(scenario)
--- a/wharftiller/tests/platform/test_failovers_under_failures.py
+++ b/wharftiller/tests/platform/test_failovers_under_failures.py
@@ -1,4 +1,4 @@
-"""Changes of primary while the platform, boxes or links between them fail."""
+"""Failovers while the platform, boxes or links between them fail."""
 
 from __future__ import annotations
 
@@ -22,47 +22,46 @@
     write_until_done,
 )
 
-MARKED_WITHIN_S = SILENT_S + 3.0
-"""Time within which a dead box is marked: noticed by a round, then a read every 0.8 s."""
+TOMBSTONED_WITHIN_S = SILENT_S + 3.0
+"""Time within which a dead box is tombstoned, in seconds."""
 
 CUT_S = 7.0
 
-MOST_ASKED = 6
-"""Questions to other boxes in such a cut: 46 to all others before, 2 to homes since."""
+MAX_REQUESTS = 6
+"""Maximum number of requests to other boxes while a gateway is cut off from the primary."""
 
-MOST_ASKED_MEANWHILE = 100
-"""Questions in rounds while a change waits for a lease: 3,343 before only those that may take it
-over asked its holder alone, 25 since (24 boxes, virtual time)."""
+MAX_REQUESTS_WHILE_WAITING = 100
+"""Maximum number of lease renewal requests while a failover waits for a lease to expire."""
 
-PLANNED_GAP_S = 1.5
-"""Longest time without writes in a planned change, in seconds: the promotion (0.3 s) and looks."""
+MAX_PLANNED_GAP_S = 1.5
+"""Maximum time without writes in a planned failover, in seconds."""
 
 
-def note_rounds(asked: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have every question in a round note in ``asked`` whom it goes to, from here on."""
+def record_renewals(recipients: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
+    """Append the recipient of each lease renewal request to ``recipients``."""
     post = BoxDirectory.post
 
-    async def noted(directory: BoxDirectory, box: Box, path: str, *args: Any) -> Any:
+    async def recorded_post(directory: BoxDirectory, box: Box, path: str, *args: Any) -> Any:
         if path == "/peer/round":
-            asked.append(box.name)
+            recipients.append(box.name)
         return await post(directory, box, path, *args)
 
-    monkeypatch.setattr(BoxDirectory, "post", noted)
+    monkeypatch.setattr(BoxDirectory, "post", recorded_post)
 
 
 class TestPlatformFailing:
     def test_an_outage_of_the_platform_stops_no_write(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
             world.store.mode = StoreMode.AWAY
             for number in range(100):
                 assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
                 await trio.sleep(0.1)
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_box_parted_from_platform_and_boxes_stops_writing_by_itself(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_box_cut_off_from_platform_and_peers_stops_writing(self) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
             world.network.cut([box.ip], ["10.1.0.2", "10.1.0.3", STORE_IP])
@@ -71,10 +70,10 @@
             assert answer[0].startswith("ERROR BUSY ")
             assert world.groups[0].primary.value("seat1") == "none"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_box_that_starts_during_an_outage_learns_from_its_neighbours(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_box_that_starts_during_an_outage_syncs_from_its_peers(self) -> None:
+        async def scenario(world: World) -> None:
             world.store.mode = StoreMode.BUSY
             box = await world.start_box(4)
             await trio.sleep(3)
@@ -83,10 +82,10 @@
             assert box.process.proxy is not None
             assert box.process.proxy.state.version == 1
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_large_configuration_on_a_slow_link_comes_and_holds_nothing_up(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_large_configuration_on_a_slow_link_blocks_nothing(self) -> None:
+        async def scenario(world: World) -> None:
             await world.kill_box(world.boxes["box-1"])
             world.store.slow_lists = {"config": 1.0}
             box = await world.start_box(1)
@@ -96,11 +95,11 @@
             assert not box.events("watch_failed")
             assert not box.events("platform_lost")
 
-        run_in_world(story, boxes=1)
+        run_in_world(scenario, boxes=1)
 
     @pytest.mark.parametrize("lost", [1, 2])
-    def test_a_lost_answer_to_the_records_update_is_settled(self, lost: int) -> None:
-        async def story(world: World) -> None:
+    def test_a_lost_answer_to_an_update_of_the_record_is_resolved(self, lost: int) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(world.boxes["box-1"], "primary")
             world.kill_server(group.primary)
@@ -108,10 +107,10 @@
             await write_until_done(caller, "WRITE seat2 boris", 20.0)
             assert fences_rise(world)
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_change_that_the_watches_do_not_tell_is_in_force_in_time(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_change_missed_by_all_watches_is_in_force_in_time(self) -> None:
+        async def scenario(world: World) -> None:
             world.store.deaf_watches = True
             document = world.store.spec("config", "main")
             world.store.set("config", "main", {**document, "Version": 7})
@@ -120,17 +119,17 @@
                 assert box.process.proxy is not None
                 assert box.process.proxy.state.version == 7
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_change_is_known_in_time_though_the_reading_box_is_cut_off(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_change_is_in_force_in_time_though_the_reader_is_cut_off(self) -> None:
+        async def scenario(world: World) -> None:
             world.store.deaf_watches = True
-            reading = [
+            readers = [
                 box
                 for box in world.boxes.values()
                 if box.process.proxy is not None and box.process.proxy._reads.reads_for_others
             ]
-            world.network.cut([reading[0].ip], [STORE_IP])
+            world.network.cut([readers[0].ip], [STORE_IP])
             document = world.store.spec("config", "main")
             world.store.set("config", "main", {**document, "Version": 7})
             await trio.sleep(2.9)
@@ -138,13 +137,13 @@
                 assert box.process.proxy is not None
                 assert box.process.proxy.state.version == 7
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
 class TestBoxesFailing:
     @pytest.mark.parametrize("after_s", [1.5, 1.7, 1.9, 2.1, 2.3])
-    def test_a_change_goes_on_when_its_holder_is_killed(self, after_s: float) -> None:
-        async def story(world: World) -> None:
+    def test_a_failover_continues_when_its_holder_is_killed(self, after_s: float) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             world.kill_server(group.primary)
             await trio.sleep(after_s)
@@ -159,10 +158,10 @@
             await write_until_done(caller, "WRITE seat2 boris", 20.0)
             assert fences_rise(world)
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_change_goes_on_when_its_holder_is_gone_for_good(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_failover_continues_when_its_holder_never_returns(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             await trio.sleep(20)
             world.kill_server(group.primary)
@@ -174,15 +173,15 @@
             await write_until_done(caller, "WRITE seat2 boris", 30.0)
             assert fences_rise(world)
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     @pytest.mark.parametrize("planned", [False, True])
     def test_a_box_known_to_be_dead_is_not_waited_for(self, planned: bool) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             await trio.sleep(LISTING_S + LEASE_S)
             await world.kill_box(world.boxes["box-3"])
-            await trio.sleep(MARKED_WITHIN_S + LEASE_S)
+            await trio.sleep(TOMBSTONED_WITHIN_S + LEASE_S)
             caller = await world.call(world.boxes["box-1"], "primary")
             old = group.primary
             if planned:
@@ -191,17 +190,17 @@
                 gap_s = 0.0
                 while group.primary is old:
                     gap_s = max(gap_s, await write_until_done(caller, "WRITE seat2 x", 20.0))
-                assert gap_s < PLANNED_GAP_S
+                assert gap_s < MAX_PLANNED_GAP_S
                 return
             world.kill_server(old)
             assert await write_until_done(caller, "WRITE seat2 boris", 20.0) < LEASE_S - 1
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_box_that_was_unlisted_counts_as_a_newcomer(self) -> None:
-        """The others' lists may lack it: they would go on without its word."""
+    def test_a_box_that_was_unlisted_counts_as_newly_listed(self) -> None:
+        """Peers whose snapshot lacks the box would not wait for its lease."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-3"]
             others = [each.ip for each in world.boxes.values() if each is not box]
             await trio.sleep(LISTING_S + LEASE_S)
@@ -214,10 +213,10 @@
             directory = box.process.proxy._directory
             assert 0 < directory.listed_s(trio.current_time()) < LISTING_S
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_change_decided_on_an_older_record_is_not_written(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_failover_decided_on_an_older_record_is_not_written(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             world.kill_server(group.primary)
             await trio.sleep(8)
@@ -227,12 +226,12 @@
             ]
             assert len({line["holder"] for line in written if line["fence"]}) == 1
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
-class TestWayThroughAnotherBox:
-    def test_a_primary_cut_from_some_boxes_is_reached_through_another(self) -> None:
-        async def story(world: World) -> None:
+class TestRelay:
+    def test_a_primary_cut_off_from_some_boxes_is_reached_by_relay(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(world.boxes["box-1"], "primary")
             world.network.cut(["10.2.0.1"], ["10.1.0.1", "10.1.0.2"])
@@ -243,65 +242,63 @@
                 assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
             world.network.heal()
             await trio.sleep(3)
-            ways = [line["via"] for line in world.boxes["box-1"].events("way_changed")]
-            assert ways[-1] is None
+            relays = [line["via"] for line in world.boxes["box-1"].events("way_changed")]
+            assert relays[-1] is None
             assert (await caller.ask("READ seat1"))[0] == "ROW x"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_homes_beside_a_cut_ask_other_homes_and_seldom(
+    def test_gateways_near_a_cut_send_few_requests_to_gateways_only(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """One home of three cannot reach the primary, which the other two hear."""
-        asked: list[str] = []
+        """One gateway of three cannot reach the primary; the other two can."""
+        recipients: list[str] = []
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             group = world.groups[0]
             gateways = world.gateways_of(group.name)
-            note_rounds(asked, monkeypatch)
+            record_renewals(recipients, monkeypatch)
             world.network.cut([gateways[0].ip], [group.primary.address.partition(":")[0]])
             await trio.sleep(CUT_S)
-            assert set(asked) <= {gateway.name for gateway in gateways}
-            assert len(asked) <= MOST_ASKED
+            assert set(recipients) <= {gateway.name for gateway in gateways}
+            assert len(recipients) <= MAX_REQUESTS
             assert not group.promotions
 
-        run_in_world(story, boxes=24, groups=[make_group(max_connections=20)])
+        run_in_world(scenario, boxes=24, groups=[make_group(max_connections=20)])
 
-    def test_a_change_that_waits_makes_nobody_ask_everybody(
-        self, monkeypatch: pytest.MonkeyPatch
-    ) -> None:
-        """A box that is cut off may hold a lease; meanwhile others look whether to take over."""
-        asked: list[str] = []
+    def test_a_waiting_failover_causes_few_requests(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """A box that is cut off may hold a lease; meanwhile others check whether to take over."""
+        recipients: list[str] = []
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await trio.sleep(5)
             group = world.groups[0]
             gateways = world.gateways_of(group.name)
             cut = next(box for box in world.boxes.values() if box not in gateways)
             others = [box.ip for box in world.boxes.values() if box is not cut]
             world.network.cut([cut.ip], [*others, STORE_IP])
-            note_rounds(asked, monkeypatch)
+            record_renewals(recipients, monkeypatch)
             world.kill_server(group.primary)
             await trio.sleep(LEASE_S + 6.0)
             assert len(group.promotions) == 1
-            assert len(asked) <= MOST_ASKED_MEANWHILE
+            assert len(recipients) <= MAX_REQUESTS_WHILE_WAITING
 
-        run_in_world(story, boxes=24, groups=[make_group(max_connections=20)])
+        run_in_world(scenario, boxes=24, groups=[make_group(max_connections=20)])
 
     def test_a_relay_connects_to_endpoints_only(self) -> None:
-        async def story(world: World) -> None:
-            for asked in (f"RELAY {STORE}", "RELAY 10.1.0.2:3", "HELLO", "RELAY " + "9" * 200):
+        async def scenario(world: World) -> None:
+            for request in (f"RELAY {STORE}", "RELAY 10.1.0.2:3", "HELLO", "RELAY " + "9" * 200):
                 stream = await world.network.host("10.1.0.2").connect("10.1.0.1:4")
-                await stream.send_all(f"{asked}\r\nGET / HTTP/1.1\r\n\r\n".encode())
+                await stream.send_all(f"{request}\r\nGET / HTTP/1.1\r\n\r\n".encode())
                 assert await stream.receive_some() == b""
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
-class TestCutThatHeals:
-    def test_a_primary_that_came_back_meanwhile_is_never_replaced(self) -> None:
-        async def story(world: World) -> None:
+class TestHealedPartition:
+    def test_a_primary_that_is_reachable_again_is_not_replaced(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             boxes = [box.ip for box in world.boxes.values()]
             for tenths in range(12, 40, 3):
@@ -315,4 +312,4 @@
                 else:
                     return
 
-        run_in_world(story)
+        run_in_world(scenario)
--- a/wharftiller/tests/platform/test_metrics.py
+++ b/wharftiller/tests/platform/test_metrics.py
@@ -1,4 +1,4 @@
-"""The page of metrics, read while things happen."""
+"""The metrics page of a box during a failover."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 async def read_metrics(
     world: World, box: str
 ) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
-    """Return every sample of a box's page by its name and labels."""
+    """Return all samples of a box's metrics page by name and labels."""
     client = HttpClient(world.network.host("10.8.0.9"), f"{world.boxes[box].ip}:5")
     answer = await client.request("GET", "/metrics", timeout_s=1.0)
     assert answer.status == 200
@@ -24,8 +24,8 @@
 
 
 class TestPage:
-    def test_answers_and_beliefs_are_told_while_a_primary_is_replaced(self) -> None:
-        async def story(world: World) -> None:
+    def test_answers_and_primaries_are_exported_during_a_failover(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("WRITE seat1 anna")
@@ -53,4 +53,4 @@
             ]
             assert sum(done) >= 1
 
-        run_in_world(story)
+        run_in_world(scenario)
--- a/wharftiller/tests/platform/test_stops.py
+++ b/wharftiller/tests/platform/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops and reloads: nothing asked is cut, and callers have time to go elsewhere."""
+"""Planned stops and reloads, which interrupt no statement."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def stop(world: World, box: BoxProcess) -> None:
-    """Tell a box to stop and wait until it has."""
+    """Stop a box gracefully and wait until its process has ended."""
     box.told.set()
     with trio.fail_after(GRACE_S):
         await box.ended.wait()
@@ -19,24 +19,24 @@
 
 
 class TestStop:
-    def test_a_stopping_box_is_unready_at_once_and_serves_until_the_balancer_knows(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_stopping_box_is_unready_at_once_and_serves_until_the_balancer_reacts(self) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
-            told_at = trio.current_time()
+            stop_requested_at = trio.current_time()
             box.told.set()
             await trio.sleep(0.01)
             assert not box.process.proxy.is_ready  # type: ignore[union-attr]
-            while trio.current_time() < told_at + BALANCER_SEES_S - 0.1:
+            while trio.current_time() < stop_requested_at + BALANCER_SEES_S - 0.1:
                 assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
                 await trio.sleep(0.05)
             assert await caller.line() is None
-            assert trio.current_time() - told_at < BALANCER_SEES_S + 0.2
+            assert trio.current_time() - stop_requested_at < BALANCER_SEES_S + 0.2
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_an_open_transaction_may_end_in_the_first_half_of_the_grace(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_open_transaction_may_end_in_the_first_half_of_the_grace_period(self) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
             await caller.ask("BEGIN")
@@ -47,10 +47,10 @@
             assert await caller.line() is None
             assert [record.writes for record in world.groups[0].primary.log]
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_statement_that_runs_at_the_end_is_still_answered(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             world.groups[0].work_s = 0.7
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
@@ -59,15 +59,15 @@
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
             assert await caller.line() is None
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_stops_in_series_cut_no_statement(self) -> None:
-        async def story(world: World) -> None:
+    def test_successive_stops_interrupt_no_statement(self) -> None:
+        async def scenario(world: World) -> None:
             unanswered: list[str] = []
             done = trio.Event()
 
             async def session(number: int) -> None:
-                turn = 0
+                step = 0
                 while not done.is_set():
                     ready = [
                         box
@@ -75,26 +75,26 @@
                         if box.process.proxy is not None and box.process.proxy.is_ready
                     ]
                     caller = await world.call(ready[number % len(ready)], "primary")
-                    turn = await write_until_closed(caller, number, turn)
+                    step = await write_until_closed(caller, number, step)
 
-            async def write_until_closed(caller: Caller, number: int, turn: int) -> int:
+            async def write_until_closed(caller: Caller, number: int, step: int) -> int:
                 while not done.is_set():
-                    turn += 1
-                    asked_at = trio.current_time()
+                    step += 1
+                    sent_at = trio.current_time()
                     try:
-                        answer = await caller.ask(f"WRITE seat{number} guest{turn}")
+                        answer = await caller.ask(f"WRITE seat{number} guest{step}")
                     except trio.BrokenResourceError:
-                        # Its session was closed at rest: nothing was sent.
-                        return turn
+                        # The session was closed while idle: nothing was sent.
+                        return step
                     if not answer:
-                        # A statement may cross its session's close, but not wait for it.
-                        if trio.current_time() - asked_at > 0.1:
-                            unanswered.append(f"{number}/{turn}")
-                        return turn
+                        # A statement may cross the close of its session, but must not wait.
+                        if trio.current_time() - sent_at > 0.1:
+                            unanswered.append(f"{number}/{step}")
+                        return step
                     if answer[0] != "ROW written":
                         unanswered.append(answer[0])
                     await trio.sleep(0.03)
-                return turn
+                return step
 
             async with trio.open_nursery() as nursery:
                 for number in range(6):
@@ -106,12 +106,12 @@
                 done.set()
             assert unanswered == []
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
 class TestReload:
-    def test_unusable_settings_end_nothing(self) -> None:
-        async def story(world: World) -> None:
+    def test_unusable_settings_do_not_end_the_process(self) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
             for _ in range(3):
@@ -119,4 +119,4 @@
                 assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
             assert len(box.events("settings_unusable")) == 3
 
-        run_in_world(story)
+        run_in_world(scenario)
--- a/wharftiller/tests/platform/test_whole_path.py
+++ b/wharftiller/tests/platform/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's protocols: sessions, transactions, kinds of reading."""
+"""Sessions, transactions and kinds of reading end to end on the platform's protocols."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 class TestSessions:
     def test_a_write_is_read_back_with_the_servers_own_proof(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-2"], "read_own_writes")
             written = await caller.ask("WRITE seat7 anna", "id-1")
             primary = world.groups[0].primary
@@ -24,19 +24,19 @@
             assert read[0] == "ROW anna"
             assert read[1].startswith("COMPLETE ") and ".id-2." in read[1]
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_an_unknown_database_is_refused_and_closed(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             stream = await world.network.host("10.8.0.1").connect("10.1.0.1:1")
             await stream.send_all(b"CONNECT nowhere desk\r\n")
             assert (await stream.receive_some()).startswith(b"ERROR NODB ")
             assert await stream.receive_some() == b""
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_values_and_prepared_names_of_sessions_never_mix(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             world.groups[0].max_connections = 5
             box = world.boxes["box-1"]
             one = await world.call(box, "primary")
@@ -51,20 +51,20 @@
             await one.ask("SET colour blue")
             assert (await one.ask("EXECUTE s seat1"))[0].endswith("colour=blue")
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_an_unknown_prepared_name_is_refused_without_running(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("EXECUTE none seat1"))[0].startswith("ERROR NOSTMT ")
             assert (await caller.ask("READ seat1"))[0] == "ROW none"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
 class TestTransactions:
     def test_commit_keeps_and_rollback_drops(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("BEGIN"))[-1] == "READY T -"
             await caller.ask("WRITE seat1 anna")
@@ -75,10 +75,10 @@
             assert (await caller.ask("ROLLBACK"))[-1] == "READY I -"
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_transaction_whose_server_closes_is_aborted_and_can_be_ended(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
@@ -90,20 +90,20 @@
             assert (await caller.ask("COMMIT"))[0].startswith("ERROR ABORTED ")
             assert (await caller.ask("READ seat1"))[0] == "ROW none"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_lost_answer_to_commit_is_in_doubt(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
             world.groups[0].primary.lose_answers = 1
             assert (await caller.ask("COMMIT"))[0].startswith("ERROR INDOUBT ")
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_callers_departure_rolls_back(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_closed_session_rolls_back(self) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
@@ -112,27 +112,27 @@
             other = await world.call(world.boxes["box-1"], "primary")
             assert (await other.ask("READ seat1"))[0] == "ROW none"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_a_transaction_that_rests_too_long_is_ended(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_idle_transaction_is_ended(self) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
             await trio.sleep(3.5)
             assert (await caller.ask("COMMIT"))[0].startswith("ERROR ABORTED ")
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
 class TestBusyEndpoint:
-    def test_a_resting_transaction_keeps_nobody_waiting(self) -> None:
-        """Only statements that run count against a busy endpoint's limit."""
+    def test_an_idle_transaction_does_not_block_others(self) -> None:
+        """Only running statements count against a busy endpoint's limit."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            resting = [await world.call(box, "primary") for _ in range(2)]
-            for caller in resting:
+            idle = [await world.call(box, "primary") for _ in range(2)]
+            for caller in idle:
                 await caller.ask("BEGIN")
                 await caller.ask("WRITE seat1 anna")
             pool = box.process.proxy.state.endpoints.pools["seats-0"]  # type: ignore[union-attr]
@@ -144,10 +144,10 @@
             assert (await caller.ask("READ seat2"))[0] == "ROW none"
             assert trio.current_time() - started < 0.1
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_refused_statements_wait_instead_of_asking_again_at_once(self) -> None:
-        async def story(world: World) -> None:
+    def test_refused_statements_wait_before_a_retry(self) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             box = world.boxes["box-1"]
             callers = [await world.call(box, "primary") for _ in range(4)]
@@ -159,12 +159,12 @@
             assert pool._limit.places(10) < 10
             assert (await callers[0].ask("READ seat1"))[0] == "ROW none"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
 class TestQueue:
     def test_a_statement_that_would_wait_beyond_its_goal_is_refused_at_once(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             world.groups[0].work_s = 0.2
             box = world.boxes["box-1"]
             pool = box.process.proxy.state.endpoints.pools["seats-0"]  # type: ignore[union-attr]
@@ -185,52 +185,52 @@
                         nursery.start_soon(ask, caller)
             assert took_s[True]
             assert took_s[False]
-            # The goal is 250 ms; a quarter of it goes by before the first of a queue is served.
+            # The goal is 250 ms; the head of the queue waits up to a quarter of it.
             assert max(took_s[False]) < 0.35
             assert max(took_s[True]) < 0.25 + 0.25
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
-class TestNeighbours:
-    def test_boxes_fetch_nothing_from_one_another_while_nothing_changes(
+class TestPeers:
+    def test_peers_fetch_nothing_from_one_another_while_nothing_changes(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """They read the platform at different times, so they know it as of other revisions."""
+        """Boxes read the platform at different times and so hold different revisions."""
         fetched: list[str] = []
         fetch = BoxDirectory.fetch_state
 
-        async def counted(
+        async def recorded_fetch(
             directory: BoxDirectory, address: str, mine: StateVersions, timeout_s: float
         ) -> dict[str, Any] | None:
             fetched.append(address)
             return await fetch(directory, address, mine, timeout_s)
 
-        monkeypatch.setattr(BoxDirectory, "fetch_state", counted)
+        monkeypatch.setattr(BoxDirectory, "fetch_state", recorded_fetch)
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             before = len(fetched)
             await trio.sleep(20)
             assert len(fetched) == before
 
-        run_in_world(story, boxes=7)
+        run_in_world(scenario, boxes=7)
 
-    def test_a_list_read_anew_and_unchanged_makes_nobody_fetch(self) -> None:
-        async def story(world: World) -> None:
+    def test_an_unchanged_list_causes_no_fetch(self) -> None:
+        async def scenario(world: World) -> None:
             proxies = [box.process.proxy for box in world.boxes.values()]
             before = [proxy.state.endpoints.revision for proxy in proxies if proxy is not None]
-            # Raises the platform's revision; the watch on endpoints tells nothing of it.
+            # Raises the platform's revision without a change for the watch on endpoints.
             world.store.set("config", "main", {**world.store.spec("config", "main"), "Version": 9})
             await trio.sleep(10)
             after = [proxy.state.endpoints.revision for proxy in proxies if proxy is not None]
             assert after == before
 
-        run_in_world(story, boxes=3)
+        run_in_world(scenario, boxes=3)
 
 
 class TestConnections:
     def test_an_endpoint_that_is_only_slow_keeps_its_connections(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             box = world.boxes["box-1"]
             callers = [await world.call(box, "primary") for _ in range(3)]
@@ -242,18 +242,18 @@
             assert (await callers[0].ask("READ seat1"))[0] == "ROW none"
             assert group.primary.opened == opened
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_connections_stay_within_the_servers_limit(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             group = world.groups[0]
             callers = [
                 await world.call(box, "primary") for box in world.boxes.values() for _ in range(12)
             ]
 
             async def work(number: int) -> None:
-                for turn in range(6):
-                    answer = await callers[number].ask(f"WRITE seat{number} guest{turn}")
+                for step in range(6):
+                    answer = await callers[number].ask(f"WRITE seat{number} guest{step}")
                     assert answer[0] == "ROW written", answer
 
             async with trio.open_nursery() as nursery:
@@ -262,39 +262,39 @@
             assert group.primary.connections <= group.max_connections
             assert group.primary.opened <= group.max_connections + 4
 
-        run_in_world(story, groups=[make_group(max_connections=11)])
+        run_in_world(scenario, groups=[make_group(max_connections=11)])
 
-    def test_calls_to_the_platform_stay_few_on_a_calm_minute(self) -> None:
-        async def story(world: World) -> None:
+    def test_calls_to_the_platform_are_few_while_nothing_changes(self) -> None:
+        async def scenario(world: World) -> None:
             before = world.store.calls
             await trio.sleep(60)
             assert world.store.calls - before < 60 * 3
 
-        run_in_world(story)
+        run_in_world(scenario)
 
 
 @pytest.mark.parametrize("text", ["", "SELECT 1", "WRITE", "SET x", "PREPARE s FROM y", "EXECUTE"])
-def test_a_text_that_is_no_statement_gets_a_clear_error(text: str) -> None:
-    async def story(world: World) -> None:
+def test_an_invalid_statement_gets_a_clear_error(text: str) -> None:
+    async def scenario(world: World) -> None:
         caller = await world.call(world.boxes["box-1"], "primary")
         assert (await caller.ask(text))[0].startswith("ERROR MALFORMED ")
         assert (await caller.ask("READ seat1"))[0] == "ROW none"
 
-    run_in_world(story, boxes=1)
+    run_in_world(scenario, boxes=1)
 
 
-class TestTruthOfRefusals:
+class TestRefusals:
     def test_a_read_that_was_sent_is_not_refused_as_not_run(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             for server in world.groups[0].servers:
                 server.lose_answers = 10
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("READ seat1"))[0].startswith("ERROR ABORTED ")
 
-        run_in_world(story)
+        run_in_world(scenario)
 
     def test_a_malformed_text_leaves_the_transaction_as_it_was(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
@@ -303,10 +303,10 @@
             await caller.ask("COMMIT")
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
 
-        run_in_world(story)
+        run_in_world(scenario)
 
-    def test_an_endpoint_that_is_full_is_not_silent(self) -> None:
-        async def story(world: World) -> None:
+    def test_a_full_endpoint_is_not_unreachable(self) -> None:
+        async def scenario(world: World) -> None:
             world.groups[0].max_connections = 0
             await trio.sleep(5)
             for box in world.boxes.values():
@@ -315,4 +315,4 @@
                 assert [row.unreachable_since for row in rows] == [None] * 3
             assert world.groups[0].promotions == []
 
-        run_in_world(story)
+        run_in_world(scenario)
--- a/wharftiller/tests/platform/test_workspaces.py
+++ b/wharftiller/tests/platform/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Callers' keys: whose their statements are, on which connections, and who never learns a key."""
+"""API keys of workspaces: identification of callers, changes of keys, and their secrecy."""
 
 from __future__ import annotations
 
@@ -39,42 +39,43 @@
 
 
 def run_with_workspaces(
-    story: Callable[[World], Awaitable[None]], *, boxes: int = 3, **changes: Any
+    scenario: Callable[[World], Awaitable[None]], *, boxes: int = 3, **changes: Any
 ) -> None:
-    """Run ``story`` where callers need keys."""
+    """Run ``scenario`` with a configuration that requires keys."""
 
-    async def with_workspaces(world: World) -> None:
+    async def run_configured(world: World) -> None:
         world.configure(2, Tenants=TENANTS)
         await trio.sleep(IN_FORCE_S)
-        await story(world)
+        await scenario(world)
 
-    run_in_world(with_workspaces, boxes=boxes, groups=[make_group(**changes)])
+    run_in_world(run_configured, boxes=boxes, groups=[make_group(**changes)])
 
 
 def server_that_ran(world: World, request_id: str) -> LineServer:
+    """Return the only server that ran a statement."""
     servers = [each for group in world.groups for each in group.servers]
     (found,) = [each for each in servers if request_id in each.ran_for]
     return found
 
 
-def first(world: World) -> BoxProcess:
+def first_box(world: World) -> BoxProcess:
     return world.boxes["box-1"]
 
 
-class TestWhoAsks:
-    def test_endpoints_are_told_the_workspace_of_every_statement(self) -> None:
-        async def story(world: World) -> None:
+class TestIdentification:
+    def test_endpoints_receive_the_workspace_of_every_statement(self) -> None:
+        async def scenario(world: World) -> None:
             for number, (key, name) in enumerate([(RILA, "rila"), (VITOSHA, "vitosha")] * 3):
-                caller = await world.call(first(world), "read_own_writes", key=key)
+                caller = await world.call(first_box(world), "read_own_writes", key=key)
                 for kind, text in [("w", "WRITE seat1 anna"), ("r", "READ seat1")]:
                     request_id = f"{kind}{number}"
                     assert "COMPLETE" in (await caller.ask(text, request_id))[1]
                     assert server_that_ran(world, request_id).ran_for[request_id] == name
 
-        run_with_workspaces(story)
+        run_with_workspaces(scenario)
 
-    def test_statements_passed_to_a_home_stay_their_workspaces(self) -> None:
-        async def story(world: World) -> None:
+    def test_forwarded_statements_keep_their_workspace(self) -> None:
+        async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
             for key, name in [(RILA, "rila"), (VITOSHA, "vitosha"), (RILA, "rila")]:
                 caller = await world.call(box, "primary", key=key)
@@ -85,35 +86,35 @@
                 assert (await caller.ask("COMMIT"))[0].startswith("COMPLETE")
                 caller.close()
 
-        run_with_workspaces(story, boxes=9, max_connections=10)
+        run_with_workspaces(scenario, boxes=9, max_connections=10)
 
-    def test_a_key_that_nobody_holds_opens_no_session(self) -> None:
-        async def story(world: World) -> None:
-            _, line = await world.knock(first(world), "primary", key="garbage")
+    def test_an_unknown_key_opens_no_session(self) -> None:
+        async def scenario(world: World) -> None:
+            _, line = await world.knock(first_box(world), "primary", key="garbage")
             assert line is not None
             assert line.startswith("ERROR NOAUTH")
 
-        run_with_workspaces(story)
+        run_with_workspaces(scenario)
 
     def test_a_route_that_needs_no_key_serves_callers_without_one(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             document = configuration(3, world.groups, Tenants=TENANTS)
             for route in document["Routes"]:
                 route["AuthExempt"] = route["Kind"] == "bounded_staleness"
             world.store.set("config", "main", document)
             await trio.sleep(IN_FORCE_S)
-            caller = await world.call(first(world), "bounded_staleness", key="anybody")
+            caller = await world.call(first_box(world), "bounded_staleness", key="anybody")
             assert (await caller.ask("READ seat1"))[0].startswith("ROW")
-            _, line = await world.knock(first(world), "primary", key="anybody")
+            _, line = await world.knock(first_box(world), "primary", key="anybody")
             assert str(line).startswith("ERROR NOAUTH")
 
-        run_with_workspaces(story)
+        run_with_workspaces(scenario)
 
 
-class TestBoxesThatKnowNoWorkspaces:
-    def test_their_statements_are_not_run_for_nobody(self) -> None:
-        async def story(world: World) -> None:
-            asked = ForwardedStatement(
+class TestStatementsWithoutWorkspace:
+    def test_a_forwarded_statement_without_a_workspace_is_refused(self) -> None:
+        async def scenario(world: World) -> None:
+            forwarded = ForwardedStatement(
                 "box-2",
                 None,
                 Route("r-1", f"{GROUP}-primary", GROUP, PrimaryReads(), 0.8, 0.2, 1),
@@ -121,21 +122,21 @@
                 0.0,
                 {},
             )
-            client = HttpClient(world.network.host("10.8.0.1"), f"{first(world).ip}:3")
-            told = await client.request(
-                "POST", "/peer/run", statement_to_json(asked), timeout_s=1.0
+            client = HttpClient(world.network.host("10.8.0.1"), f"{first_box(world).ip}:3")
+            answer = await client.request(
+                "POST", "/peer/run", statement_to_json(forwarded), timeout_s=1.0
             )
-            refusal = reply_from_json(told.json()).reply.refusal
+            refusal = reply_from_json(answer.json()).reply.refusal
             assert refusal is not None
             assert refusal.kind is RefusalKind.UNKNOWN_KEY
             await client.aclose()
 
-        run_with_workspaces(story)
+        run_with_workspaces(scenario)
 
 
-class TestKeysThatChange:
-    def test_a_key_taken_away_runs_nothing_once_the_version_is_in_force(self) -> None:
-        async def story(world: World) -> None:
+class TestKeyChanges:
+    def test_a_revoked_key_runs_nothing_once_the_version_is_in_force(self) -> None:
+        async def scenario(world: World) -> None:
             callers = [await world.call(box, "primary", key=RILA) for box in world.boxes.values()]
             world.configure(3, Tenants=[tenant("rila", PIRIN), tenant("vitosha", VITOSHA)])
             await trio.sleep(IN_FORCE_S)
@@ -146,11 +147,11 @@
                 assert (await caller.ask("BEGIN"))[0].startswith("ERROR NOAUTH")
             assert not any(each.ran_for.keys() & {"late-0"} for each in world.groups[0].servers)
 
-        run_with_workspaces(story)
+        run_with_workspaces(scenario)
 
-    def test_a_transaction_begun_before_ends_as_it_began(self) -> None:
-        async def story(world: World) -> None:
-            caller = await world.call(first(world), "primary", key=RILA)
+    def test_an_open_transaction_ends_under_the_workspace_it_began_with(self) -> None:
+        async def scenario(world: World) -> None:
+            caller = await world.call(first_box(world), "primary", key=RILA)
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
             world.configure(3, Tenants=[tenant("vitosha", VITOSHA)])
@@ -158,11 +159,11 @@
             assert (await caller.ask("COMMIT"))[0].startswith("COMPLETE")
             assert (await caller.ask("READ seat1"))[0].startswith("ERROR NOAUTH")
 
-        run_with_workspaces(story)
+        run_with_workspaces(scenario)
 
-    def test_an_open_session_follows_a_key_that_moves(self) -> None:
-        async def story(world: World) -> None:
-            caller = await world.call(first(world), "primary", key=RILA)
+    def test_an_open_session_follows_a_key_that_changes_workspaces(self) -> None:
+        async def scenario(world: World) -> None:
+            caller = await world.call(first_box(world), "primary", key=RILA)
             await caller.ask("WRITE seat1 anna", "before")
             world.configure(3, Tenants=[tenant("rila"), tenant("vitosha", VITOSHA, RILA)])
             await trio.sleep(IN_FORCE_S)
@@ -170,22 +171,22 @@
             ran_for = world.groups[0].primary.ran_for
             assert (ran_for["before"], ran_for["after"]) == ("rila", "vitosha")
 
-        run_with_workspaces(story)
+        run_with_workspaces(scenario)
 
     def test_a_key_added_is_served_on_every_box(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             world.configure(3, Tenants=[*TENANTS, tenant("pirin", PIRIN)])
             await trio.sleep(IN_FORCE_S)
             for box in world.boxes.values():
                 caller = await world.call(box, "primary", key=PIRIN)
                 assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
 
-        run_with_workspaces(story, boxes=9, max_connections=10)
+        run_with_workspaces(scenario, boxes=9, max_connections=10)
 
 
 class TestKeysAreSecrets:
-    def test_no_key_is_logged_shown_sent_to_an_endpoint_or_handed_to_a_box(self) -> None:
-        async def story(world: World) -> None:
+    def test_no_key_is_logged_shown_or_sent_to_an_endpoint_or_box(self) -> None:
+        async def scenario(world: World) -> None:
             garbage = "garbage-key-1c2d"
             for box in world.boxes.values():
                 caller = await world.call(box, "primary", key=RILA)
@@ -195,28 +196,28 @@
                 await world.knock(box, "nowhere", key=VITOSHA)
             world.configure(3, Tenants=[tenant("rila", RILA), tenant("vitosha", RILA)])
             await trio.sleep(IN_FORCE_S)
-            told = [bytes(box.lines).decode() for box in world.boxes.values()]
+            texts = [bytes(box.lines).decode() for box in world.boxes.values()]
             for box in world.boxes.values():
                 assert box.events("configuration_not_understood")
-                told.append(json.dumps(box.log()))
+                texts.append(json.dumps(box.log()))
                 proxy = box.process.proxy
                 assert proxy is not None
-                told.append(orjson.dumps(proxy.state.configuration.document).decode())
-                told.append(repr(proxy.state.configuration))
+                texts.append(orjson.dumps(proxy.state.configuration.document).decode())
+                texts.append(repr(proxy.state.configuration))
                 metrics = await world.network.host("10.8.0.1").connect(f"{box.ip}:5")
                 await metrics.send_all(b"GET /metrics HTTP/1.1\r\ncontent-length: 0\r\n\r\n")
                 with trio.move_on_after(0.5):
                     while data := await metrics.receive_some():
-                        told.append(data.decode())
+                        texts.append(data.decode())
             for server in world.groups[0].servers:
-                told += server.ran_for.values()
-            assert not [key for key in (RILA, VITOSHA, garbage) for text in told if key in text]
+                texts += server.ran_for.values()
+            assert not [key for key in (RILA, VITOSHA, garbage) for text in texts if key in text]
 
-        run_with_workspaces(story)
+        run_with_workspaces(scenario)
 
 
 class TestDecoding:
-    """A document with workspaces that cannot be used leaves the old version in force."""
+    """Documents with invalid workspaces are refused."""
 
     @pytest.mark.parametrize(
         ("tenants", "named"),
@@ -231,7 +232,7 @@
             ([tenant("rila", RILA), tenant("rila", VITOSHA)], "two workspaces"),
         ],
     )
-    def test_it_is_refused_with_a_typed_error_that_tells_no_key(
+    def test_it_is_refused_with_an_error_that_contains_no_key(
         self, tenants: Any, named: str
     ) -> None:
         document = configuration(2, [make_group(GROUP)])
@@ -241,12 +242,12 @@
             decode_configuration(document, needs_workspaces=True)
         assert RILA not in str(caught.value)
 
-    def test_what_boxes_hand_one_another_decodes_to_the_same(self) -> None:
+    def test_a_document_sent_to_peers_decodes_to_the_same(self) -> None:
         document = configuration(2, [make_group(GROUP)], Tenants=TENANTS)
-        once = decode_configuration(document)
-        again = decode_configuration(once.document)
-        assert again == once
-        assert again.document == once.document
+        decoded = decode_configuration(document)
+        again = decode_configuration(decoded.document)
+        assert again == decoded
+        assert again.document == decoded.document
 
     def test_a_deployment_without_workspaces_needs_no_keys(self) -> None:
         assert decode_configuration(configuration(2, [make_group(GROUP)])).workspaces is None
--- a/wharftiller/tests/platform/world.py
+++ b/wharftiller/tests/platform/world.py
@@ -1,4 +1,4 @@
-"""Boxes, line endpoints and the object store on a network in memory, in virtual time."""
+"""Boxes, line-protocol endpoints and the object store on an in-memory network, in virtual time."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 STORE = f"{STORE_IP}:80"
 GROUP = "seats"
 SETTLED_S = 3.0
-"""Time after which boxes know one another, the configuration and the primary."""
+"""Time until boxes have found their peers, the configuration and the primary, in seconds."""
 
 
 def configuration(version: int, groups: list[LineGroup], **changes: Any) -> dict[str, Any]:
-    """Return an operator's document with one database a kind of reading and group."""
+    """Return an operator's document with one database for each group and kind of reading."""
     routes = []
     for group in groups:
         for kind in ("primary", "bounded_staleness", "read_own_writes"):
@@ -59,11 +59,11 @@
 
 
 def tenant(name: str, *keys: str, rate: float | None = None, burst: float = 0) -> dict[str, Any]:
-    """Return a workspace as the operator's document lists it."""
-    listed: dict[str, Any] = {"Name": name, "ApiKeys": list(keys), "Priority": 1}
+    """Return a workspace's entry in the operator's document."""
+    entry: dict[str, Any] = {"Name": name, "ApiKeys": list(keys), "Priority": 1}
     if rate is not None:
-        listed |= {"RatePerS": rate, "Burst": burst}
-    return listed
+        entry |= {"RatePerS": rate, "Burst": burst}
+    return entry
 
 
 class Caller:
@@ -72,10 +72,10 @@
     def __init__(self, stream: trio.abc.Stream) -> None:
         self._stream = stream
         self._buffer = b""
-        self._asked = 0
+        self._statements_sent = 0
 
     async def line(self) -> str | None:
-        """Return the next line; None once the box has closed."""
+        """Return the next line, or None if the box has closed the connection."""
         while b"\r\n" not in self._buffer:
             try:
                 data = await self._stream.receive_some()
@@ -88,13 +88,13 @@
         return line.decode()
 
     async def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send bytes unchanged."""
         await self._stream.send_all(data)
 
     async def ask(self, text: str, request_id: str | None = None) -> list[str]:
-        """Send a statement and return the lines of its answer."""
-        self._asked += 1
-        request_id = request_id or f"{id(self):x}{self._asked}"
+        """Execute a statement and return the lines of the reply."""
+        self._statements_sent += 1
+        request_id = request_id or f"{id(self):x}{self._statements_sent}"
         await self.send(f"QUERY {request_id} {text}\r\n".encode())
         lines: list[str] = []
         while (line := await self.line()) is not None:
@@ -104,13 +104,13 @@
         return lines
 
     def close(self) -> None:
-        """Leave without a word."""
+        """Close the connection without ending the session."""
         self._stream.close_now()  # type: ignore[attr-defined]
 
 
 @attrs.define(eq=False)
 class BoxProcess:
-    """One box's process and its log."""
+    """A box's process and its log."""
 
     name: str
     ip: str
@@ -121,17 +121,17 @@
     ended: trio.Event = attrs.field(factory=trio.Event)
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Return the logged lines of one event."""
+        """Return the log entries of one event."""
         return [line for line in self.log() if line["event"] == name]
 
     def log(self) -> list[dict[str, Any]]:
-        """Return every logged line."""
+        """Return all log entries."""
         self.process._log.flush()
         return [json.loads(line) for line in bytes(self.lines).splitlines()]
 
 
 class World:
-    """Everything on one network."""
+    """Boxes, endpoints and the object store on one network."""
 
     def __init__(
         self,
@@ -150,7 +150,7 @@
         self._incarnations = 0
 
     async def start(self) -> None:
-        """Start the store and the endpoints."""
+        """Start the store and the endpoints and write the first configuration."""
         store_host = self.network.host("10.9.0.1")
         await self._nursery.start(self.store.serve, store_host, STORE)
         for group in self.groups:
@@ -167,7 +167,7 @@
         self.register(server)
 
     def register(self, server: LineServer) -> None:
-        """Write a server's own entry."""
+        """Write a server's entry into the store."""
         spec = {
             "Service": server.group.name,
             "Address": server.address,
@@ -178,14 +178,14 @@
         self.store.set("servers", server.name, spec)
 
     def kill_server(self, server: LineServer) -> None:
-        """End a server without a word; connections to it hang, as without power."""
+        """Cut off a server as in a power failure: connections to it hang instead of closing."""
         server.down = True
         ip = server.address.partition(":")[0]
         others = [box.ip for box in self.boxes.values()] + ["10.9.0.1"]
         self.network.cut([ip], others)
 
     async def start_box(self, number: int, data_centre: str = "a") -> BoxProcess:
-        """Start a box."""
+        """Start a box's process."""
         ip = f"10.1.0.{number}"
         self._incarnations += 1
         settings = ProcessSettings(
@@ -224,7 +224,7 @@
             box.ended.set()
 
     def gateways_of(self, group: str) -> list[BoxProcess]:
-        """Return the boxes that run a group's statements by themselves."""
+        """Return the gateways of a group."""
         proxies = {name: box.process.proxy for name, box in self.boxes.items()}
         return [
             self.boxes[name]
@@ -233,20 +233,20 @@
         ]
 
     async def kill_box(self, box: BoxProcess) -> None:
-        """End a box's process at once."""
+        """End a box's process without a graceful stop."""
         box.scope.cancel()
         await box.ended.wait()
         self.network.kill(box.ip)
         del self.boxes[box.name]
 
     def configure(self, version: int, **changes: Any) -> None:
-        """Put a new version of the operator's configuration into the store."""
+        """Write a new version of the operator's configuration into the store."""
         self.store.set("config", "main", configuration(version, self.groups, **changes))
 
     async def knock(
         self, box: BoxProcess, kind: str, group: str = GROUP, key: str = "desk"
     ) -> tuple[Caller, str | None]:
-        """Ask for a session; return it with the box's first line."""
+        """Request a session; return the caller and the first line of the reply."""
         stream = await self.network.host("10.8.0.1").connect(f"{box.ip}:1")
         caller = Caller(stream)
         await caller.send(f"CONNECT {group}-{kind} {key}\r\n".encode())
@@ -255,14 +255,14 @@
     async def call(
         self, box: BoxProcess, kind: str, group: str = GROUP, key: str = "desk"
     ) -> Caller:
-        """Open a session and return it once it is ready."""
+        """Open a session; fails unless the box accepts it."""
         caller, line = await self.knock(box, kind, group, key)
         assert line == "READY I -"
         return caller
 
 
 def make_group(name: str = GROUP, network: int = 2, **changes: Any) -> LineGroup:
-    """Return a group of three servers, one in each data centre."""
+    """Return a group of three servers, one per data centre; the first is the primary."""
     group = LineGroup(name, **changes)
     for number, data_centre in enumerate("abc"):
         address = f"10.{network}.{number}.1:5"
@@ -278,7 +278,7 @@
     limits: BoxLimits | None = None,
     bounds: PlatformBounds | None = None,
 ) -> AsyncIterator[World]:
-    """Run a world whose boxes know one another."""
+    """Run a world and yield it once its boxes have found their peers."""
     async with trio.open_nursery() as nursery:
         world = World(nursery, groups or [make_group()], limits, bounds)
         await world.start()
@@ -290,24 +290,24 @@
 
 
 def run_in_world(
-    story: Callable[[World], Awaitable[None]],
+    scenario: Callable[[World], Awaitable[None]],
     *,
     boxes: int = 3,
     groups: list[LineGroup] | None = None,
     limits: BoxLimits | None = None,
     bounds: PlatformBounds | None = None,
 ) -> None:
-    """Run ``story`` in virtual time."""
+    """Run ``scenario`` in virtual time."""
 
     async def main() -> None:
         async with running_world(boxes, groups, limits, bounds) as world:
-            await story(world)
+            await scenario(world)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 async def write_until_done(caller: Caller, text: str, within_s: float) -> float:
-    """Offer a write until it is acknowledged; return how long it took, in seconds."""
+    """Repeat a write until it is acknowledged; return the time taken, in seconds."""
     started = trio.current_time()
     with trio.fail_after(within_s):
         while not (await caller.ask(text))[0].startswith("ROW written"):
@@ -316,6 +316,6 @@
 
 
 def fences_rise(world: World) -> bool:
-    """Return whether no promotion was ordered under a lower fence than one before."""
+    """Return whether the fences of promotions never decrease."""
     fences = [fence for group in world.groups for _, _, fence in group.promotions]
     return fences == sorted(fences)
