--- a/wharftiller/tests/platform/test_restored_platform.py
+++ b/wharftiller/tests/platform/test_restored_platform.py
@@ -48,7 +48,7 @@
 
 
 async def replace_cut_off_primary(world: World) -> None:
-    """Cut off the primary until the boxes have replaced it and events to its successor."""
+    """Cut off the primary until the boxes have replaced it, and write to its successor."""
     old = world.groups[0].primary
     boxes = [box.ip for box in world.boxes.values()]
     world.network.cut([old.address.partition(":")[0]], boxes)
--- a/wharftiller/tests/platform/test_whole_path.py
+++ b/wharftiller/tests/platform/test_whole_path.py
@@ -171,7 +171,7 @@
             callers = [await world.call(box, "primary") for _ in range(12)]
             took_s: dict[bool, list[float]] = {True: [], False: []}
 
-            async def ask(caller: Caller) -> None:
+            async def read_timed(caller: Caller) -> None:
                 started = trio.current_time()
                 answer = await caller.ask("READ seat1")
                 took_s[answer[0] == "ROW none"].append(trio.current_time() - started)
@@ -182,7 +182,7 @@
             for _ in range(3):
                 async with trio.open_nursery() as nursery:
                     for caller in callers:
-                        nursery.start_soon(ask, caller)
+                        nursery.start_soon(read_timed, caller)
             assert took_s[True]
             assert took_s[False]
             # The goal is 250 ms; the head of the queue waits up to a quarter of it.
