--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -18,7 +18,7 @@
 
 @app.command()
 def platform(listen: str, list_lag_s: float = 0.5) -> None:
-    """Run the platform's stand-in."""
+    """Run the stand-in of the platform."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
@@ -38,7 +38,7 @@
     lag_ms: float = 5.0,
     connect_ms: float = 12.0,
 ) -> None:
-    """Run one database server's stand-in."""
+    """Run the stand-in of one database server."""
     options = EndpointOptions(
         max_connections=max_connections,
         service_ms=service_ms,
--- a/standins/database.py
+++ b/standins/database.py
@@ -1,6 +1,6 @@
 """One server of a database group as a state machine, without I/O.
 
-What it assumes of a real server is listed in docs/operators/endpoints.md.
+The assumptions about a real server are listed in docs/operators/endpoints.md.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Effect:
-    """One change of a business's rows: ``append`` to a list, or ``put`` a value."""
+    """One change to the rows of a business: ``append`` to a list or ``put`` a value."""
 
     do: str
     key: str
@@ -32,7 +32,7 @@
     Attributes
     ----------
     kind : str
-        ``write``, ``open`` (a term's first record) or ``bar`` (an id that may not run).
+        ``write``, ``open`` (first record of a term) or ``bar`` (blocks a request id).
     """
 
     term: int
@@ -45,7 +45,7 @@
 
 @attrs.define
 class OpenTransaction:
-    """Effects of a transaction that has not been committed."""
+    """Uncommitted effects of a transaction."""
 
     business: str
     term: int
@@ -53,7 +53,7 @@
 
 
 class StatementError(Exception):
-    """A statement that the database rejects; it has no effect."""
+    """Raised for a statement that the database rejects without effect."""
 
 
 @attrs.define
@@ -63,22 +63,22 @@
     Attributes
     ----------
     promised : int
-        Everything below this term is refused.
-    promised_to : str
-        The attempt that this term was promised to; empty where it was learned by following.
+        Newest promised term; requests of older terms are refused.
+    promised_attempt : str
+        Attempt that the term was promised to; empty if the term came by replication.
     leads_in : int
-        The term in which it leads; 0 when it does not.
+        Term in which the server is primary; 0 for a replica.
     term_ends : dict of int to int
         Index of the last record, per term of the log.
     opened : int
         Index of the record that opened the log's term.
     runs : list of (business, request id)
-        Every write that ran here, for tests to count.
+        Every write that ran here; tests count them.
     """
 
     name: str
     promised: int = 0
-    promised_to: str = ""
+    promised_attempt: str = ""
     leads_in: int = 0
     leaving: bool = False
     quiesce: int = QUIESCE_NOTHING
@@ -97,11 +97,11 @@
 
     @property
     def leads(self) -> bool:
-        """Whether it leads and has promised no later term."""
+        """Whether the server is primary and has promised no later term."""
         return self.leads_in > 0 and self.leads_in == self.promised
 
     def report(self, primary_silent_ms: int = 0) -> Report:
-        """Return what the server says of itself."""
+        """Return the report on the server's state."""
         return Report(
             endpoint=self.name,
             promised=self.promised,
@@ -115,19 +115,25 @@
             open_transactions=self.open_transactions,
         )
 
-    # Orders of a steward ------------------------------------------------
+    # Steward requests ---------------------------------------------------
 
     def fence(self, term: int, attempt: str = "") -> bool:
-        """Promise ``term`` to one attempt; False if beyond it, or promised to another."""
-        if term < self.promised or (term == self.promised and attempt != self.promised_to):
+        """Promise ``term`` to one attempt.
+
+        Returns False if a later term or another attempt holds the promise.
+        """
+        if term < self.promised or (term == self.promised and attempt != self.promised_attempt):
             return False
         self.promised = term
-        self.promised_to = attempt
+        self.promised_attempt = attempt
         return True
 
     def promote(self, term: int, attempt: str = "") -> bool:
-        """Lead in ``term`` if it was promised to this attempt; opens the term's log once."""
-        if term != self.promised or attempt != self.promised_to:
+        """Become the primary of ``term`` if it was promised to this attempt.
+
+        Repeated calls append the term's opening record only once.
+        """
+        if term != self.promised or attempt != self.promised_attempt:
             return False
         if self.leads_in != term:
             if self.log_term >= term:
@@ -139,34 +145,34 @@
 
     # Replication --------------------------------------------------------
 
-    def records_after(self, ends: dict[int, int], most: int) -> tuple[int, list[Record]]:
-        """Return the records a follower lacks, and the length of the common log.
+    def records_after(self, ends: dict[int, int], max_records: int) -> tuple[int, list[Record]]:
+        """Return the length of the common log and the records that a replica lacks.
 
         Parameters
         ----------
         ends : dict of int to int
-            Index of the follower's last record, per term.
-        most : int
-            Records returned at most.
+            Index of the replica's last record, per term.
+        max_records : int
+            Maximum number of records returned.
         """
         common = 0
         for term, end in ends.items():
-            own = self.term_ends.get(term)
-            if own is not None:
-                common = max(common, min(own, end))
-        return common, self.log[common : common + most]
+            end_here = self.term_ends.get(term)
+            if end_here is not None:
+                common = max(common, min(end_here, end))
+        return common, self.log[common : common + max_records]
 
     def follow(self, term: int, common: int, records: list[Record]) -> bool:
-        """Take in records of the primary of ``term``, dropping what it does not have.
+        """Append records of the primary of ``term``, dropping conflicting ones.
 
-        Only a record of another term at the same place shortens the log: an
-        answer that comes late must not take back what was reported since.
+        Only a record of another term at the same index truncates the log: a late
+        reply must not remove records whose position has been reported since.
         """
         if term < self.promised or common > len(self.log):
             return False
         if term > self.promised:
             self.promised = term
-            self.promised_to = ""
+            self.promised_attempt = ""
         if self.leads_in != term:
             self.leads_in = 0
             self.quiesce = QUIESCE_NOTHING
@@ -179,13 +185,13 @@
         return True
 
     def _truncate(self, length: int) -> None:
-        kept = self.log[:length]
+        kept_records = self.log[:length]
         self.log = []
         self.rows = {}
         self.ids = {}
         self.term_ends = {}
         self.opened = 0
-        for record in kept:
+        for record in kept_records:
             self._append(record)
 
     def _append(self, record: Record) -> int:
@@ -203,37 +209,37 @@
     # Statements ---------------------------------------------------------
 
     def read(self, request_id: str, business: str, statement: Any, term: int) -> EndpointAnswer:
-        """Run a read; with a term, only as that term's primary."""
-        refusal = self._term_refusal(term) if term else ""
+        """Run a read; with a term, only as the primary of that term."""
+        refusal = self._refuse_term(term) if term else ""
         if refusal:
-            return self._not_run(request_id, refusal)
+            return self._answer_not_run(request_id, refusal)
         try:
             result = evaluate(self.rows.get(business, {}), statement)
         except StatementError as error:
-            return self._answer(request_id, Verdict.REJECTED, why=str(error))
-        return self._answer(request_id, Verdict.RAN, position=len(self.log), result=result)
+            return self._build_answer(request_id, Verdict.REJECTED, why=str(error))
+        return self._build_answer(request_id, Verdict.RAN, position=len(self.log), result=result)
 
     def write(self, request_id: str, business: str, statement: Any, term: int) -> EndpointAnswer:
-        """Run a write once: a recorded id returns its outcome, a barred one is refused."""
-        refusal = self._term_refusal(term) or self._quiesce_refusal(QUIESCE_ALL)
+        """Run a write once; a recorded id returns its outcome, a barred id is refused."""
+        refusal = self._refuse_term(term) or self._refuse_quiescing(QUIESCE_ALL)
         if refusal:
-            return self._not_run(request_id, refusal)
-        recorded = self._recorded(request_id, business)
+            return self._answer_not_run(request_id, refusal)
+        recorded = self._recorded_answer(request_id, business)
         if recorded is not None:
             return recorded
         try:
             effects, result = plan_write(self.rows.get(business, {}), statement)
         except StatementError as error:
-            return self._answer(request_id, Verdict.REJECTED, why=str(error))
+            return self._build_answer(request_id, Verdict.REJECTED, why=str(error))
         return self._commit(request_id, business, effects, result)
 
     def write_in_transaction(
         self, request_id: str, transaction: OpenTransaction, statement: Any, term: int
     ) -> EndpointAnswer:
         """Add a write's effects to an open transaction."""
-        refusal = self._term_refusal(term)
+        refusal = self._refuse_term(term)
         if refusal:
-            return self._not_run(request_id, refusal)
+            return self._answer_not_run(request_id, refusal)
         rows: dict[str, Any] = dict(self.rows.get(transaction.business, {}))
         for effect in transaction.effects:
             if isinstance(rows.get(effect.key), list):
@@ -242,33 +248,33 @@
         try:
             effects, result = plan_write(rows, statement)
         except StatementError as error:
-            return self._answer(request_id, Verdict.REJECTED, why=str(error))
+            return self._build_answer(request_id, Verdict.REJECTED, why=str(error))
         transaction.effects.extend(effects)
-        return self._answer(request_id, Verdict.RAN, position=len(self.log), result=result)
+        return self._build_answer(request_id, Verdict.RAN, position=len(self.log), result=result)
 
     def commit(self, request_id: str, transaction: OpenTransaction, term: int) -> EndpointAnswer:
         """Commit a transaction's effects as one record."""
-        refusal = self._term_refusal(term)
+        refusal = self._refuse_term(term)
         if not refusal and transaction.term != self.promised:
             refusal = "the transaction began in an earlier term"
         if refusal:
-            return self._not_run(request_id, refusal)
-        recorded = self._recorded(request_id, transaction.business)
+            return self._answer_not_run(request_id, refusal)
+        recorded = self._recorded_answer(request_id, transaction.business)
         if recorded is not None:
             return recorded
         count = len(transaction.effects)
         return self._commit(request_id, transaction.business, tuple(transaction.effects), count)
 
     def resolve(self, request_id: str, business: str, term: int) -> EndpointAnswer:
-        """Say what became of an id; bar it in the log unless it is recorded."""
-        refusal = self._term_refusal(term)
+        """Return the outcome of a request id; bar the id in the log if it is not recorded."""
+        refusal = self._refuse_term(term)
         if refusal:
-            return self._not_run(request_id, refusal)
-        recorded = self._recorded(request_id, business)
+            return self._answer_not_run(request_id, refusal)
+        recorded = self._recorded_answer(request_id, business)
         if recorded is not None:
             return recorded
         index = self._append(Record(self.promised, "bar", request_id, business))
-        return self._answer(request_id, Verdict.BARRED, position=index)
+        return self._build_answer(request_id, Verdict.BARRED, position=index)
 
     def _commit(
         self, request_id: str, business: str, effects: tuple[Effect, ...], result: Any
@@ -276,34 +282,34 @@
         record = Record(self.promised, "write", request_id, business, effects, result)
         index = self._append(record)
         self.runs.append((business, request_id))
-        return self._answer(request_id, Verdict.RAN, position=index, result=result)
+        return self._build_answer(request_id, Verdict.RAN, position=index, result=result)
 
-    def _recorded(self, request_id: str, business: str) -> EndpointAnswer | None:
+    def _recorded_answer(self, request_id: str, business: str) -> EndpointAnswer | None:
         index = self.ids.get((business, request_id))
         if index is None:
             return None
         record = self.log[index - 1]
         verdict = Verdict.BARRED if record.kind == "bar" else Verdict.RECORDED
-        return self._answer(request_id, verdict, position=index, result=record.result)
+        return self._build_answer(request_id, verdict, position=index, result=record.result)
 
     def begin_refusal(self, term: int) -> str:
-        """Return why no transaction may begin in ``term``; empty if one may."""
-        return self._term_refusal(term) or self._quiesce_refusal(QUIESCE_TRANSACTIONS)
+        """Return why no transaction may begin in ``term``; empty if it may."""
+        return self._refuse_term(term) or self._refuse_quiescing(QUIESCE_TRANSACTIONS)
 
-    def _term_refusal(self, term: int) -> str:
+    def _refuse_term(self, term: int) -> str:
         if not self.leads:
             return f"not the primary; promised term {self.promised}"
         if term != self.promised:
             return f"term {term} asked for, this primary is in term {self.promised}"
         return ""
 
-    def _quiesce_refusal(self, level: int) -> str:
+    def _refuse_quiescing(self, level: int) -> str:
         return "quiescing for a change of primary" if self.quiesce >= level else ""
 
-    def _not_run(self, request_id: str, why: str) -> EndpointAnswer:
-        return self._answer(request_id, Verdict.NOT_RUN, why=why)
+    def _answer_not_run(self, request_id: str, why: str) -> EndpointAnswer:
+        return self._build_answer(request_id, Verdict.NOT_RUN, why=why)
 
-    def _answer(
+    def _build_answer(
         self,
         request_id: str,
         verdict: Verdict,
@@ -343,22 +349,22 @@
 
 
 def plan_write(rows: dict[str, Any], statement: Any) -> tuple[tuple[Effect, ...], Any]:
-    """Return the effects and result of an ``append`` (with ``below``) or a ``put``.
+    """Return the effects and result of an ``append`` (optionally ``below``) or a ``put``.
 
     Raises
     ------
     StatementError
-        If the statement is neither, or the list is as long as ``below`` allows.
+        If the statement is neither, or the list already has ``below`` entries.
     """
     match statement:
         case {"append": str(key), "value": value, **rest}:
-            existing = rows.get(key) or []
-            if not isinstance(existing, list):
+            entries = rows.get(key) or []
+            if not isinstance(entries, list):
                 raise StatementError(f"{key!r} holds a single value; use put")
             below = rest.get("below")
-            if isinstance(below, int) and len(existing) >= below:
-                raise StatementError(f"{key!r} has {len(existing)} entries, {below} are allowed")
-            return (Effect("append", key, value),), len(existing) + 1
+            if isinstance(below, int) and len(entries) >= below:
+                raise StatementError(f"{key!r} has {len(entries)} entries, {below} are allowed")
+            return (Effect("append", key, value),), len(entries) + 1
         case {"put": str(key), "value": value}:
             return (Effect("put", key, value),), value
         case _:
