--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,6 +1,6 @@
 """A stand-in for one database server: slots, connections, replication with lag.
 
-What it assumes of a real server is listed in docs/operators/endpoints.md.
+The assumptions about a real server are listed in docs/operators/endpoints.md.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from wharftiller.edges.transport import Transport
 
 PULL_WAIT_MS = 100
-PULL_RECORDS = 500
+MAX_PULL_RECORDS = 500
 PULL_TIMEOUT_S = 1.0
-PULL_PAUSE_S = 0.02
+PULL_RETRY_S = 0.02
 HEARTBEAT_S = 0.1
 
 
 @attrs.define
 class EndpointOptions:
-    """Figures of one server.
+    """Limits and delays of one server.
 
     Attributes
     ----------
     service_ms : float
-        Time a statement holds a slot.
+        Time for which a statement holds a slot.
     lag_ms : float
-        Time a replica waits before it takes in what it pulled.
+        Time between pulling records and applying them on a replica.
     """
 
     slots: int = 3
@@ -47,30 +47,30 @@
 
 @attrs.define
 class _Connection:
-    """State of one statement connection."""
+    """State of one statement connection; it is open once the handshake is done."""
 
-    greeted: bool = False
+    is_open: bool = False
     transaction: OpenTransaction | None = None
 
 
 class Endpoint:
-    """A database behind its statement and control addresses."""
+    """A database with its statement and control servers."""
 
     def __init__(self, name: str, transport: Transport, options: EndpointOptions) -> None:
         self.database = Database(name)
         self.options = options
         self.connections = 0
-        self.most_connections = 0
+        self.peak_connections = 0
         self.statements = 0
         self._transport = transport
         self._slots = trio.Semaphore(options.slots)
-        self._changed = trio.Event()
-        self._heard_primary_at = -math.inf
-        self._follows: tuple[int, str] | None = None
-        self._follow_changed = trio.Event()
+        self._log_grown = trio.Event()
+        self._last_primary_contact_at = -math.inf
+        self._followed: tuple[int, str] | None = None
+        self._followed_changed = trio.Event()
         self._quiesced_until = math.inf
-        self._frozen: trio.Event | None = None
-        self._writes_held: trio.Event | None = None
+        self._thaw_event: trio.Event | None = None
+        self._writes_released: trio.Event | None = None
 
     # Statements ---------------------------------------------------------
 
@@ -84,28 +84,28 @@
         try:
             await serve_stream(stream, handle)
         finally:
-            if connection.greeted:
+            if connection.is_open:
                 self.connections -= 1
             self._drop_transaction(connection)
 
     async def _statement_call(self, connection: _Connection, request: HttpRequest) -> HttpResponse:
-        await self._thaw()
+        await self._wait_until_thawed()
         match request.path:
             case "/connect":
-                return await self._greet(connection)
-            case "/statement" if connection.greeted:
+                return await self._handshake(connection)
+            case "/statement" if connection.is_open:
                 answer = await self._run(connection, request.json())
-                await self._thaw()
+                await self._wait_until_thawed()
                 return HttpResponse(200, to_json(answer))
             case _:
                 raise BadRequestError("greet with POST /connect, then send POST /statement")
 
-    async def _greet(self, connection: _Connection) -> HttpResponse:
+    async def _handshake(self, connection: _Connection) -> HttpResponse:
         if self.connections >= self.options.max_connections:
             return HttpResponse(429, {"error": "connection limit"}, close=True)
-        connection.greeted = True
+        connection.is_open = True
         self.connections += 1
-        self.most_connections = max(self.most_connections, self.connections)
+        self.peak_connections = max(self.peak_connections, self.connections)
         await trio.sleep(self.options.connect_ms / 1000)
         return HttpResponse(200, {"endpoint": self.database.name})
 
@@ -118,11 +118,11 @@
         queued_at = trio.current_time()
         async with self._slots:
             await trio.sleep(self.options.service_ms / 1000)
-            if action is Action.WRITE and self._writes_held is not None:
-                await self._writes_held.wait()
-            await self._thaw()
+            if action is Action.WRITE and self._writes_released is not None:
+                await self._writes_released.wait()
+            await self._wait_until_thawed()
             if (trio.current_time() - queued_at) * 1000 > body["deadline_ms"]:
-                return self._refusal(body, "its deadline passed in the queue")
+                return self._not_run(body, "its deadline passed in the queue")
             return self._execute(connection, action, body)
 
     def _execute(
@@ -151,14 +151,14 @@
                 self._drop_transaction(connection)
                 return EndpointAnswer(request_id, Verdict.RAN, self._report())
             case _:
-                return self._refusal(body, "no transaction is open on this connection")
-        self._log_changed()
+                return self._not_run(body, "no transaction is open on this connection")
+        self._notify_log_grown()
         return answer
 
     def _begin(self, connection: _Connection, body: dict[str, Any]) -> EndpointAnswer:
         refusal = self.database.begin_refusal(body["term"])
         if refusal:
-            return self._refusal(body, refusal)
+            return self._not_run(body, refusal)
         connection.transaction = OpenTransaction(body["business"], body["term"])
         self.database.open_transactions += 1
         return EndpointAnswer(
@@ -170,11 +170,11 @@
             connection.transaction = None
             self.database.open_transactions -= 1
 
-    def _refusal(self, body: dict[str, Any], why: str) -> EndpointAnswer:
+    def _not_run(self, body: dict[str, Any], why: str) -> EndpointAnswer:
         return EndpointAnswer(body["request_id"], Verdict.NOT_RUN, self._report(), why=why)
 
     def _report(self) -> Any:
-        silent = trio.current_time() - self._heard_primary_at
+        silent = trio.current_time() - self._last_primary_contact_at
         silent_ms = 0 if self.database.leads else round(min(silent, 3_600) * 1000)
         return self.database.report(silent_ms)
 
@@ -187,14 +187,14 @@
     async def _control_call(self, request: HttpRequest) -> HttpResponse:
         body = request.json()
         if request.path == "/fault":
-            return self._fault(body)
-        await self._thaw()
+            return self._apply_faults(body)
+        await self._wait_until_thawed()
         self._end_overdue_quiesce()
         match request.path:
             case "/report":
                 await self._wait_for_position(body["wait_position"], body["wait_ms"])
             case "/fence":
-                return self._ordered(self.database.fence(body["term"], body["attempt"]))
+                return self._order_response(self.database.fence(body["term"], body["attempt"]))
             case "/promote":
                 return self._promote(body["term"], body["attempt"])
             case "/follow":
@@ -205,34 +205,34 @@
                 leads = self.database.leads and self.database.leads_in == body["term"]
                 return HttpResponse(200 if leads else 409, {})
             case "/pull":
-                return await self._pulled(body)
+                return await self._serve_pull(body)
             case _:
                 raise BadRequestError(f"no control call {request.path!r}")
         return HttpResponse(200, to_json(self._report()))
 
-    def _ordered(self, done: bool) -> HttpResponse:
-        self._log_changed()
+    def _order_response(self, done: bool) -> HttpResponse:
+        self._notify_log_grown()
         return HttpResponse(200 if done else 409, to_json(self._report()))
 
     def _promote(self, term: int, attempt: str) -> HttpResponse:
         done = self.database.promote(term, attempt)
         if done:
-            self._follows = None
-        return self._ordered(done)
+            self._followed = None
+        return self._order_response(done)
 
     def _follow(self, term: int, address: str) -> HttpResponse:
         if term < self.database.promised or self.database.leads_in == term:
-            return self._ordered(False)
-        self._follows = (term, address)
-        self._follow_changed.set()
-        return self._ordered(True)
+            return self._order_response(False)
+        self._followed = (term, address)
+        self._followed_changed.set()
+        return self._order_response(True)
 
     def _quiesce(self, body: dict[str, Any]) -> HttpResponse:
         if body["term"] != self.database.promised or not self.database.leads:
-            return self._ordered(False)
+            return self._order_response(False)
         self.database.quiesce = body["level"]
         self._quiesced_until = trio.current_time() + body["hold_ms"] / 1000
-        return self._ordered(True)
+        return self._order_response(True)
 
     def _end_overdue_quiesce(self) -> None:
         if trio.current_time() > self._quiesced_until:
@@ -242,38 +242,38 @@
     async def _wait_for_position(self, position: int, wait_ms: int) -> None:
         with trio.move_on_after(wait_ms / 1000):
             while len(self.database.log) < position:
-                await self._changed.wait()
+                await self._log_grown.wait()
 
-    def _log_changed(self) -> None:
-        self._changed.set()
-        self._changed = trio.Event()
+    def _notify_log_grown(self) -> None:
+        self._log_grown.set()
+        self._log_grown = trio.Event()
 
     # Replication --------------------------------------------------------
 
-    async def _pulled(self, body: dict[str, Any]) -> HttpResponse:
+    async def _serve_pull(self, body: dict[str, Any]) -> HttpResponse:
         ends = {int(term): index for term, index in body["ends"]}
         database = self.database
         with trio.move_on_after(body["wait_ms"] / 1000):
             while database.leads_in == body["term"]:
-                common, records = database.records_after(ends, PULL_RECORDS)
+                common, records = database.records_after(ends, MAX_PULL_RECORDS)
                 if records or ends.get(database.log_term) != len(database.log):
                     break
-                await self._changed.wait()
+                await self._log_grown.wait()
         if not database.leads or database.leads_in != body["term"]:
             return HttpResponse(409, {"error": "does not lead in that term"})
-        common, records = database.records_after(ends, PULL_RECORDS)
+        common, records = database.records_after(ends, MAX_PULL_RECORDS)
         return HttpResponse(
             200, {"common": common, "records": [to_json(record) for record in records]}
         )
 
     async def replicate(self) -> None:
-        """Pull the log of the primary that was last named, for ever."""
+        """Keep pulling the log of the primary that is followed."""
         while True:
-            if self._follows is None or self.database.leads:
-                await self._follow_changed.wait()
-                self._follow_changed = trio.Event()
+            if self._followed is None or self.database.leads:
+                await self._followed_changed.wait()
+                self._followed_changed = trio.Event()
                 continue
-            term, address = self._follows
+            term, address = self._followed
             client = HttpClient(self._transport, address)
             try:
                 await self._pull_from(client, term)
@@ -281,7 +281,7 @@
                 await client.aclose()
 
     async def _pull_from(self, client: HttpClient, term: int) -> None:
-        while self._follows == (term, client.address) and term >= self.database.promised:
+        while self._followed == (term, client.address) and term >= self.database.promised:
             body = {
                 "term": term,
                 "ends": list(self.database.term_ends.items()),
@@ -290,76 +290,76 @@
             try:
                 answer = await client.request("POST", "/pull", body, timeout_s=PULL_TIMEOUT_S)
             except ExchangeError:
-                await trio.sleep(PULL_PAUSE_S)
+                await trio.sleep(PULL_RETRY_S)
                 continue
             if answer.status != 200:
-                await trio.sleep(PULL_PAUSE_S)
+                await trio.sleep(PULL_RETRY_S)
                 continue
-            await self._take_in(term, answer.json())
+            await self._apply_records(term, answer.json())
         if term < self.database.promised:
-            self._follows = None
+            self._followed = None
 
-    async def _take_in(self, term: int, body: dict[str, Any]) -> None:
+    async def _apply_records(self, term: int, body: dict[str, Any]) -> None:
         records = [from_peer(record, Record) for record in body["records"]]
         if records:
             await trio.sleep(self.options.lag_ms / 1000)
-        await self._thaw()
+        await self._wait_until_thawed()
         if self.database.follow(term, body["common"], records):
-            self._log_changed()
+            self._notify_log_grown()
 
     async def monitor_primary(self) -> None:
-        """Learn for ever whether the primary that is followed still leads."""
+        """Keep checking whether the primary that is followed still leads."""
         while True:
             await trio.sleep(HEARTBEAT_S)
-            if self._follows is None or self.database.leads:
+            if self._followed is None or self.database.leads:
                 continue
-            term, address = self._follows
+            term, address = self._followed
             client = HttpClient(self._transport, address)
             try:
-                await self._heartbeats(client, term)
+                await self._check_primary(client, term)
             finally:
                 await client.aclose()
 
-    async def _heartbeats(self, client: HttpClient, term: int) -> None:
-        while self._follows == (term, client.address):
-            asked_at = trio.current_time()
+    async def _check_primary(self, client: HttpClient, term: int) -> None:
+        while self._followed == (term, client.address):
+            sent_at = trio.current_time()
             body = {"term": term}
             try:
                 answer = await client.request("POST", "/heartbeat", body, timeout_s=PULL_TIMEOUT_S)
             except ExchangeError:
                 return
             if answer.status == 200:
-                self._heard_primary_at = asked_at
+                self._last_primary_contact_at = sent_at
             await trio.sleep(HEARTBEAT_S)
 
     # Faults -------------------------------------------------------------
 
-    async def _thaw(self) -> None:
-        while self._frozen is not None:
-            await self._frozen.wait()
+    async def _wait_until_thawed(self) -> None:
+        while self._thaw_event is not None:
+            await self._thaw_event.wait()
 
     def freeze(self) -> None:
-        """Stop doing anything until `thaw`."""
-        if self._frozen is None:
-            self._frozen = trio.Event()
+        """Suspend all processing until `thaw`."""
+        if self._thaw_event is None:
+            self._thaw_event = trio.Event()
 
     def thaw(self) -> None:
-        """Go on."""
-        if self._frozen is not None:
-            self._frozen.set()
-            self._frozen = None
+        """Resume processing."""
+        if self._thaw_event is not None:
+            self._thaw_event.set()
+            self._thaw_event = None
 
     def hold_writes(self) -> None:
-        """Let writes wait in their slots until `release_writes`."""
-        self._writes_held = self._writes_held or trio.Event()
+        """Make writes wait in their slots until `release_writes`."""
+        self._writes_released = self._writes_released or trio.Event()
 
     def release_writes(self) -> None:
-        """Let held writes go on."""
-        held, self._writes_held = self._writes_held, None
+        """Resume held writes."""
+        held, self._writes_released = self._writes_released, None
         if held is not None:
             held.set()
 
-    def _fault(self, body: dict[str, Any]) -> HttpResponse:
+    def _apply_faults(self, body: dict[str, Any]) -> HttpResponse:
         for name, value in body.items():
             match name:
                 case "frozen":
@@ -378,7 +378,7 @@
     control_address: str,
     task_status: trio.TaskStatus[tuple[str, str]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve ``endpoint`` for ever."""
+    """Serve ``endpoint`` until cancelled."""
     async with trio.open_nursery() as nursery:
         bound = await nursery.start(transport.serve, address, endpoint.statement_stream)
         control = await nursery.start(transport.serve, control_address, endpoint.control_stream)
