--- a/standins/layout.py
+++ b/standins/layout.py
@@ -1,4 +1,4 @@
-"""Lay out a deployment on this machine: free ports, settings files, start commands."""
+"""Write a local deployment: free ports, settings files and start commands."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Shape:
-    """How much is deployed."""
+    """Size of a deployment."""
 
     groups: int = 3
     boxes: int = 3
@@ -37,12 +37,12 @@
 
 
 def write_layout(folder: Path, shape: Shape) -> dict[str, Any]:
-    """Write ``layout.json``, a settings file a box, and ``commands`` into ``folder``.
+    """Write ``layout.json``, one settings file per box and ``commands`` into ``folder``.
 
     Returns
     -------
     dict
-        What ``layout.json`` holds: addresses by process name.
+        Content of ``layout.json``: addresses by process name.
     """
     folder.mkdir(parents=True, exist_ok=True)
     ports = iter(_free_ports(1 + shape.groups * 6 + shape.boxes * 3))
@@ -55,11 +55,11 @@
         group = f"sofia-{number}"
         names = [f"{group}-{letter}" for letter in "abc"]
         layout["groups"].append({"name": group, "endpoints": names})
-        for place, name in enumerate(names):
+        for index, name in enumerate(names):
             layout["endpoints"][name] = {
                 "address": address(),
                 "control_address": address(),
-                "data_centre": f"hall-{place % shape.data_centres + 1}",
+                "data_centre": f"hall-{index % shape.data_centres + 1}",
             }
     for number in range(1, shape.boxes + 1):
         layout["boxes"][f"box-{number}"] = {
@@ -99,6 +99,6 @@
             f"{endpoint['control_address']} --service-ms {shape.service_ms}"
         )
     for name in layout["boxes"]:
-        for part in ("steward", "admin", "proxy"):
-            lines.append(f"{name}-{part} wharf-{part} --settings {folder / f'{name}.json'}")
+        for daemon in ("steward", "admin", "proxy"):
+            lines.append(f"{name}-{daemon} wharf-{daemon} --settings {folder / f'{name}.json'}")
     return "\n".join(lines) + "\n"
--- a/standins/line_endpoints.py
+++ b/standins/line_endpoints.py
@@ -1,8 +1,8 @@
-"""Database groups that speak the platform's lines: logs, lag, promotion, cuts, freezes.
+"""Database groups that speak the platform's line protocol: logs, lag and promotion.
 
-Asynchronous: a write is acknowledged once the primary has it; replicas receive it
-`lag_s` later. Every answer carries a proof that names the server, the statement's
-id and its text, so that a test can tell whose answer a caller got.
+Replication is asynchronous: a write is acknowledged once the primary has it, and
+replicas receive it `lag_s` later. Each success carries a proof of the server, the
+statement's id and its text, so that a test can tell to whom a reply belongs.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
     from wharftiller.edges.transport import Transport
 
 SYNC_POLL_S = 0.005
-"""Time between looks at whether enough replicas hold a write, in seconds."""
+"""Time between checks whether enough replicas hold a write, in seconds."""
 
 
 @attrs.frozen
 class Record:
-    """One committed transaction in a log."""
+    """One committed transaction in the log."""
 
     term: int
     number: int
@@ -41,23 +41,23 @@
     Attributes
     ----------
     log : list of Record
-        What it has received.
+        Received records.
     deaf : bool
-        Whether it receives nothing.
+        Whether replication to this server is suspended.
     opened : int
-        Connections taken since it started.
+        Connections accepted since the start.
     busy_answers, lose_answers : int
-        So many statements are refused for want of a slot, or run and not answered.
+        How many of the next statements are rejected as busy, or run without a reply.
     started : list of str
-        Ids of the statements that took a slot.
+        Ids of the statements that ran in a slot.
     ran_for : dict of str to str
-        Who each of them was run for: the name told when its connection was opened.
+        Client name per statement id, as given when the connection was opened.
     ran_at : list of (float, str)
-        When each of them was run, in seconds, and for whom.
+        Time of each run, in seconds, and the client name.
     waiting : int
         Statements and new connections that wait for a slot.
     lingering : dict of str to float
-        Hosts that lost power, and until when connections of theirs still count, in seconds.
+        Hosts that lost power, and the time until which their connections still count, in seconds.
     """
 
     name: str
@@ -83,7 +83,7 @@
 
     @asynccontextmanager
     async def slot(self) -> AsyncIterator[None]:
-        """Hold a slot; without any limit at once."""
+        """Hold a slot; returns at once if the group has no limit."""
         if self.group.slots is None:
             yield
             return
@@ -101,21 +101,21 @@
 
     @property
     def position(self) -> str:
-        """End of its log, as written in lines."""
+        """Position of the last record, in the format of the line protocol."""
         last = self.log[-1] if self.log else Record(1, 0, (), "")
         return f"{last.term}.{last.number}"
 
     def holds(self, position: str) -> bool:
-        """Return whether its log reaches ``position``."""
+        """Return whether the log reaches ``position``."""
         term, number = (int(part) for part in position.split("."))
         last = self.log[-1] if self.log else Record(1, 0, (), "")
         return (last.term, last.number) >= (term, number)
 
-    def value(self, thing: str) -> str:
-        """Return what was last written to ``thing``."""
+    def value(self, key: str) -> str:
+        """Return the last value written to ``key``."""
         for record in reversed(self.log):
             for name, data in reversed(record.writes):
-                if name == thing:
+                if name == key:
                     return data
         return "none"
 
@@ -127,17 +127,17 @@
     Attributes
     ----------
     lag_s, work_s, promote_s : float
-        Time until replicas hold a write, for a statement and for a promotion, in seconds.
+        Duration of replication, of a statement and of a promotion, in seconds.
     sync_replicas : int
-        Replicas that hold a write before it is acknowledged.
+        Number of replicas that must hold a write before it is acknowledged.
     slots : int or None
-        Statements and new connections that a server works on at once; None for any number.
+        Statements and new connections that a server processes at once; None for no limit.
     queue : int
-        How many more may wait; all further statements are refused as busy.
+        Number of waiting statements beyond which further ones are rejected as busy.
     handshake_s : float
         Time for which a new connection holds a slot, in seconds.
     promotions : list of (str, str, int)
-        Every order of a promotion: server, holder and fence.
+        All promotion requests: server, holder and fence.
     """
 
     name: str
@@ -155,27 +155,27 @@
 
     @property
     def primary(self) -> LineServer:
-        """The server that leads the newest term."""
+        """The primary of the newest term."""
         return max((each for each in self.servers if each.leads), key=lambda each: each.term)
 
     async def commit(
         self, server: LineServer, writes: tuple[tuple[str, str], ...], request_id: str
     ) -> None:
-        """Append a transaction to a server's log and send it to the others."""
+        """Append a transaction to a server's log and replicate it."""
         number = (server.log[-1].number if server.log else 0) + 1
         server.log.append(Record(server.term, number, writes, request_id))
         assert self.nursery is not None
         self.nursery.start_soon(self._replicate, server)
         written = server.position
-        while self._holding(server, written) < self.sync_replicas:
+        while self._count_holding(server, written) < self.sync_replicas:
             await trio.sleep(SYNC_POLL_S)
 
-    def _holding(self, source: LineServer, position: str) -> int:
+    def _count_holding(self, source: LineServer, position: str) -> int:
         """Return how many other servers hold ``position``."""
         return sum(1 for each in self.servers if each is not source and each.holds(position))
 
     async def _replicate(self, source: LineServer) -> None:
-        """Bring the other servers to the source's log, after the lag."""
+        """Copy the log of ``source`` to the other servers after the lag."""
         await trio.sleep(self.lag_s)
         for server in self.servers:
             if server is source or server.leads or server.deaf or source.down or server.down:
@@ -185,7 +185,7 @@
                 server.term = source.term
 
     async def promote(self, name: str, holder: str, fence: int) -> bool:
-        """Have a server lead the next term with what it has received."""
+        """Make a server the primary of the next term with the records it has received."""
         server = next((each for each in self.servers if each.name == name), None)
         if server is None or server.down:
             return False
@@ -203,10 +203,10 @@
 
 
 @attrs.define
-class _Open:
-    """What is set on one connection to a server; ``state`` is the letter in its lines."""
+class _Connection:
+    """State of one connection; ``state`` is the letter sent after READY."""
 
-    who: str
+    client_name: str
 
     values: dict[str, str] = attrs.field(factory=dict)
     prepared: dict[str, tuple[str, str]] = attrs.field(factory=dict)
@@ -217,7 +217,7 @@
 
 
 def proof(server: LineServer, request_id: str, text: str) -> str:
-    """Return the proof of a success."""
+    """Return the proof for a successful statement."""
     check = zlib.crc32(f"{server.name} {request_id} {text}".encode())
     return f"{server.name}.{request_id}.{check:08x}"
 
@@ -225,19 +225,19 @@
 async def serve_server(
     server: LineServer, transport: Transport, task_status: trio.TaskStatus[str]
 ) -> None:
-    """Serve one server's address."""
+    """Serve the address of one server."""
 
     async def handle(stream: trio.abc.Stream) -> None:
         server.connections += 1
         try:
             await _serve_connection(server, stream)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The caller reset it; what was open is rolled back.
+            # The peer reset the connection; an open transaction is rolled back.
             pass
         finally:
-            host = getattr(stream, "there", "")
+            remote_ip = getattr(stream, "remote_ip", "")
             with trio.CancelScope(shield=True):
-                await trio.sleep_until(server.lingering.get(host, -math.inf))
+                await trio.sleep_until(server.lingering.get(remote_ip, -math.inf))
             server.connections -= 1
 
     await transport.serve(server.address, handle, task_status)
@@ -245,7 +245,7 @@
 
 async def _serve_connection(server: LineServer, stream: trio.abc.Stream) -> None:
     buffer = b""
-    state: _Open | None = None
+    connection: _Connection | None = None
     while True:
         while b"\r\n" not in buffer:
             data = await stream.receive_some()
@@ -254,8 +254,8 @@
             buffer += data
         line, buffer = buffer.split(b"\r\n", 1)
         text = line.decode()
-        if state is None:
-            _, group, who, name = text.split(" ")
+        if connection is None:
+            _, group, client_name, name = text.split(" ")
             if group != server.group.name or name != server.name:
                 await stream.send_all(b"ERROR MISROUTED another server\r\n")
                 return
@@ -265,59 +265,63 @@
             async with server.slot():
                 await trio.sleep(server.group.handshake_s)
             server.opened += 1
-            state = _Open(who)
+            connection = _Connection(client_name)
             await stream.send_all(f"READY I {server.position}\r\n".encode())
             continue
         _, request_id, statement = text.split(" ", 2)
-        lines = await _run(server, state, request_id, statement)
+        lines = await _run_statement(server, connection, request_id, statement)
         if server.lose_answers and request_id != "-":
             server.lose_answers -= 1
             return
         answer = "".join(f"{each}\r\n" for each in lines)
-        await stream.send_all(f"{answer}READY {state.state} {server.position}\r\n".encode())
+        await stream.send_all(f"{answer}READY {connection.state} {server.position}\r\n".encode())
 
 
-async def _run(server: LineServer, state: _Open, request_id: str, text: str) -> list[str]:
+async def _run_statement(
+    server: LineServer, connection: _Connection, request_id: str, text: str
+) -> list[str]:
     if text.startswith("AFTER "):
         _, position, text = text.split(" ", 2)
         if not server.holds(position):
             return [f"ERROR LAGGING {server.name}"]
     words = text.split(" ")
-    own = _session_statement(server, state, words)
-    if own is not None:
-        return own
-    if state.state == "E" and words[0] not in ("COMMIT", "ROLLBACK"):
+    lines = _session_statement(server, connection, words)
+    if lines is not None:
+        return lines
+    if connection.state == "E" and words[0] not in ("COMMIT", "ROLLBACK"):
         return ["ERROR MALFORMED the transaction failed"]
     match words:
         case ["BEGIN", *rest]:
-            state.read_only = rest == ["READ"]
-            if not state.read_only and not server.leads:
+            connection.read_only = rest == ["READ"]
+            if not connection.read_only and not server.leads:
                 return [f"ERROR READONLY {server.name}"]
-            state.state, state.writes, state.term = "T", [], server.term
+            connection.state, connection.writes, connection.term = "T", [], server.term
             return ["COMPLETE -"]
         case ["ROLLBACK"]:
-            state.state, state.writes = "I", []
+            connection.state, connection.writes = "I", []
             return ["COMPLETE -"]
         case _:
-            return await _work(server, state, request_id, text)
+            return await _run_in_slot(server, connection, request_id, text)
 
 
-def _session_statement(server: LineServer, state: _Open, words: list[str]) -> list[str] | None:
-    """Run what neither needs a slot nor depends on a transaction; None for the rest."""
+def _session_statement(
+    server: LineServer, connection: _Connection, words: list[str]
+) -> list[str] | None:
+    """Run a statement that needs neither a slot nor a transaction; None for others."""
     match words:
         case ["STATUS"]:
             role = "primary" if server.leads else "replica"
             row = f"ROW {role} {server.term} {server.position} 0 0 0 {server.connections}"
             return [row, "COMPLETE -"]
         case ["SET", name, *rest]:
-            state.values[name] = " ".join(rest)
+            connection.values[name] = " ".join(rest)
             return ["COMPLETE -"]
         case ["PREPARE", name, access, shape]:
-            state.prepared[name] = (access, shape)
+            connection.prepared[name] = (access, shape)
             return ["COMPLETE -"]
         case ["RESET"]:
-            state.values.clear()
-            state.prepared.clear()
+            connection.values.clear()
+            connection.prepared.clear()
             return ["COMPLETE -"]
         case ["DEMOTE", term]:
             if server.leads and server.term < int(term):
@@ -329,37 +333,39 @@
             return None
 
 
-async def _work(server: LineServer, state: _Open, request_id: str, text: str) -> list[str]:
-    """Run what needs a slot: reads, writes and commits."""
+async def _run_in_slot(
+    server: LineServer, connection: _Connection, request_id: str, text: str
+) -> list[str]:
+    """Run a statement that needs a slot: a read, a write or a commit."""
     if server.busy_answers or server.waiting > server.group.queue:
         server.busy_answers = max(0, server.busy_answers - 1)
         return ["ERROR BUSY all slots are taken"]
     async with server.slot():
         await trio.sleep(server.group.work_s)
     server.started.append(request_id)
-    server.ran_for[request_id] = state.who
-    server.ran_at.append((trio.current_time(), state.who))
+    server.ran_for[request_id] = connection.client_name
+    server.ran_at.append((trio.current_time(), connection.client_name))
     done = f"COMPLETE {proof(server, request_id, text)}"
     words = text.split(" ")
     if words[0] == "EXECUTE":
-        if words[1] not in state.prepared:
+        if words[1] not in connection.prepared:
             return ["ERROR NOSTMT unknown"]
-        words = [state.prepared[words[1]][0], *words[2:]]
+        words = [connection.prepared[words[1]][0], *words[2:]]
     match words:
-        case ["READ", thing, *_]:
-            values = ",".join(f"{k}={v}" for k, v in sorted(state.values.items()))
-            return [f"ROW {server.value(thing)} {values}".rstrip(), done]
-        case ["WRITE", thing, data]:
-            if not server.leads or (state.state == "T" and state.read_only):
-                state.state = "E" if state.state == "T" else "I"
+        case ["READ", key, *_]:
+            values = ",".join(f"{k}={v}" for k, v in sorted(connection.values.items()))
+            return [f"ROW {server.value(key)} {values}".rstrip(), done]
+        case ["WRITE", key, data]:
+            if not server.leads or (connection.state == "T" and connection.read_only):
+                connection.state = "E" if connection.state == "T" else "I"
                 return [f"ERROR READONLY {server.name}"]
-            if state.state == "T":
-                state.writes.append((thing, data))
+            if connection.state == "T":
+                connection.writes.append((key, data))
             else:
-                await server.group.commit(server, ((thing, data),), request_id)
+                await server.group.commit(server, ((key, data),), request_id)
             return ["ROW written", done]
         case ["COMMIT"]:
-            writes, state.writes, state.state = tuple(state.writes), [], "I"
+            writes, connection.writes, connection.state = tuple(connection.writes), [], "I"
             if writes and not server.leads:
                 return [f"ERROR READONLY {server.name}"]
             if writes:
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -1,4 +1,4 @@
-"""The platform's objects over HTTP: conditional changes, watches, outages, lost answers."""
+"""The platform's object store over HTTP: conditional updates, watches, outages, lost replies."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StoreMode(enum.Enum):
-    """How the store answers."""
+    """How the store responds: normally, not at all, or with 503."""
 
     WELL = "well"
     AWAY = "away"
@@ -27,48 +27,48 @@
 
 @attrs.define
 class _Change:
-    """One change of an object, as watches tell it."""
+    """One change of an object, as delivered to watches."""
 
     revision: int
-    gone: bool
+    is_removed: bool
     kind: str
     value: dict[str, Any]
 
 
 OWN_KIND = "wharftiller"
-"""Kind of the objects that boxes write; all others are the operator's and the servers'."""
+"""Kind of the objects that boxes write; operators and servers write the other kinds."""
 
 
 @attrs.frozen
-class StoreCopy:
-    """Everything that a store held at one revision."""
+class StoreBackup:
+    """All objects of a store at one revision."""
 
     revision: int
     objects: dict[tuple[str, str], dict[str, Any]]
 
 
 class ObjectStoreStandIn:
-    """Objects with one revision for all, and the promotions beside them.
+    """Objects with a store-wide revision, and the promotion call.
 
     Attributes
     ----------
     lose_answers : int
-        So many changes take effect and are not answered.
+        How many of the next changes take effect without a reply.
     deaf_watches : bool
-        Whether watches tell nothing, as while history is compacted.
+        Whether watches deliver nothing, as during compaction.
     slow_lists : dict of str to float
-        How long lists of a kind take, in seconds, as large ones on a slow link.
+        Delay of list calls per kind, in seconds.
     calls, listed : int
-        Calls taken, and objects told in lists.
+        Number of calls received and of objects returned in lists.
     era : int
-        Rises each time it comes back from a copy; told in every answer.
+        Epoch of the store: rises with each restore; sent in every response.
     """
 
     def __init__(self, groups: list[LineGroup]) -> None:
         self._groups = {group.name: group for group in groups}
         self._objects: dict[tuple[str, str], dict[str, Any]] = {}
         self._changes: list[_Change] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._changed = trio.Event()
         self.revision = 0
         self.mode = StoreMode.WELL
@@ -80,20 +80,20 @@
         self.era = 1
 
     def set(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object as the operator or a server does."""
+        """Write an object unconditionally."""
         self.revision += 1
         old = self._objects.get((kind, name))
-        made = old["meta"]["CreatedRev"] if old else self.revision
+        created_revision = old["meta"]["CreatedRev"] if old else self.revision
         meta: dict[str, Any] = {
             "Name": name,
             "Revision": self.revision,
-            "CreatedRev": made,
+            "CreatedRev": created_revision,
             "Finalizers": [],
         }
         value = {"meta": meta, "spec": spec, "status": None}
         self._objects[kind, name] = value
         self._changes.append(_Change(self.revision, False, kind, value))
-        self._wake()
+        self._notify_watches()
         return self.revision
 
     def remove(self, kind: str, name: str) -> None:
@@ -102,52 +102,52 @@
         if value is not None:
             self.revision += 1
             self._changes.append(_Change(self.revision, True, kind, value))
-            self._wake()
+            self._notify_watches()
 
     def spec(self, kind: str, name: str) -> Any:
-        """Return what an object holds, or None."""
+        """Return the spec of an object, or None."""
         value = self._objects.get((kind, name))
         return value["spec"] if value else None
 
-    def forget_history(self) -> None:
-        """Answer watches from before now with 410."""
-        self._forgotten = self.revision
-        self._wake()
+    def compact_history(self) -> None:
+        """Answer watches that start before the current revision with 410."""
+        self._compacted_revision = self.revision
+        self._notify_watches()
 
-    def copy(self) -> StoreCopy:
-        """Return a copy of everything, to come back from."""
-        return StoreCopy(self.revision, copy.deepcopy(self._objects))
+    def copy(self) -> StoreBackup:
+        """Return a backup for `restore`."""
+        return StoreBackup(self.revision, copy.deepcopy(self._objects))
 
-    def restore(self, taken: StoreCopy) -> None:
-        """Come back from a copy; what the operator and the servers wrote since is written again."""
-        theirs = {key: value for key, value in self._objects.items() if key[0] != OWN_KIND}
+    def restore(self, backup: StoreBackup) -> None:
+        """Restore a backup, then write again what operators and servers have written since."""
+        foreign = {key: value for key, value in self._objects.items() if key[0] != OWN_KIND}
         self.era += 1
-        self.revision = taken.revision
-        self._objects = copy.deepcopy(taken.objects)
-        self._changes = [each for each in self._changes if each.revision <= taken.revision]
-        for (kind, name), value in theirs.items():
+        self.revision = backup.revision
+        self._objects = copy.deepcopy(backup.objects)
+        self._changes = [each for each in self._changes if each.revision <= backup.revision]
+        for (kind, name), value in foreign.items():
             if self.spec(kind, name) != value["spec"]:
                 self.set(kind, name, value["spec"])
         for kind, name in list(self._objects):
-            if kind != OWN_KIND and (kind, name) not in theirs:
+            if kind != OWN_KIND and (kind, name) not in foreign:
                 self.remove(kind, name)
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
     async def serve(
         self, transport: Transport, address: str, task_status: trio.TaskStatus[str]
     ) -> None:
-        """Answer calls at ``address``."""
+        """Serve calls at ``address``."""
 
         async def handle(stream: trio.abc.Stream) -> None:
-            await serve_stream(stream, self._answer)
+            await serve_stream(stream, self._handle)
 
         await transport.serve(address, handle, task_status)
 
-    async def _answer(self, request: HttpRequest) -> HttpResponse:
+    async def _handle(self, request: HttpRequest) -> HttpResponse:
         self.calls += 1
         if self.mode is StoreMode.AWAY:
             await trio.sleep_forever()
@@ -155,7 +155,7 @@
             return HttpResponse(503, {})
         if request.path == "/promotion":
             return await self._promote(request)
-        response = await self._objects_call(request)
+        response = await self._handle_objects(request)
         response.headers["Store-Era"] = str(self.era)
         if request.method != "GET" and self.lose_answers:
             self.lose_answers -= 1
@@ -169,7 +169,7 @@
         running = await group.promote(body["Id"], request.headers["duty-holder"], fence)
         return HttpResponse(200 if running else 409, {})
 
-    async def _objects_call(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_objects(self, request: HttpRequest) -> HttpResponse:
         _, _, _, kind, *rest = request.path.split("/")
         match (request.method, rest):
             case ("GET", []) if "Watch" in request.query:
@@ -208,8 +208,8 @@
         old = self._objects.get((kind, name))
         if old is None:
             return HttpResponse(404, {})
-        wanted = value["meta"].get("Revision")
-        if wanted is not None and wanted != old["meta"]["Revision"]:
+        expected_revision = value["meta"].get("Revision")
+        if expected_revision is not None and expected_revision != old["meta"]["Revision"]:
             return HttpResponse(409, old)
         if orjson.dumps(old["spec"]) != orjson.dumps(value["spec"]):
             self.set(kind, name, value["spec"])
@@ -219,7 +219,7 @@
         since = int(query["Watch"])
         with trio.move_on_after(int(query.get("WaitMs", "0")) / 1000):
             while True:
-                if since < self._forgotten or since > self.revision:
+                if since < self._compacted_revision or since > self.revision:
                     return HttpResponse(410, {})
                 events = self._events(kind, since)
                 if events and not self.deaf_watches:
@@ -229,7 +229,7 @@
 
     def _events(self, kind: str, since: int) -> list[dict[str, Any]]:
         return [
-            {"Tombstone": change.gone, "Object": change.value}
+            {"Tombstone": change.is_removed, "Object": change.value}
             for change in self._changes
             if change.kind == kind and change.revision > since
         ]
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,6 +1,6 @@
 """A stand-in for the platform: objects, watches and a lagging list of boxes.
 
-What it assumes of the real one is listed in docs/operators/platform.md.
+The assumptions about the real one are listed in docs/operators/platform.md.
 """
 
 from __future__ import annotations
@@ -22,16 +22,18 @@
 
 @attrs.define
 class Faults:
-    """What is wrong with the platform now.
+    """Faults that are injected into the platform.
 
     Attributes
     ----------
     outage : bool
-        Every call is refused.
+        Whether every call is refused.
     slow_ms : int
-        Time added to every call.
+        Delay added to every call.
     lose_answers : int
-        That many updates take effect and their answers are lost.
+        How many of the next updates try_take effect without a reply.
+    reads_per_s, writes_per_s : float
+        Rate limits.
     """
 
     outage: bool = False
@@ -42,14 +44,14 @@
 
 
 @attrs.define
-class _Budget:
-    """A token bucket of one second's calls."""
+class _TokenBucket:
+    """A token bucket that holds the calls of one second."""
 
     tokens: float = 0.0
     filled_at: float = -math.inf
 
-    def take(self, rate: float, now: float) -> bool:
-        """Take one call if the rate allows it."""
+    def try_take(self, rate: float, now: float) -> bool:
+        """Take one token if available, and return whether it was."""
         self.tokens = min(rate, self.tokens + (now - self.filled_at) * rate)
         self.filled_at = now
         if self.tokens < 1:
@@ -60,7 +62,7 @@
 
 @attrs.define
 class Platform:
-    """The platform's state."""
+    """State of the platform."""
 
     latency_s: float = 0.002
     list_lag_s: float = 1.0
@@ -68,50 +70,50 @@
     objects: dict[str, StoredObject] = attrs.field(factory=dict)
     calls: dict[str, int] = attrs.field(factory=dict)
     _boxes: list[tuple[float, list[BoxEntry]]] = attrs.field(factory=list)
-    _changed: trio.Event = attrs.field(factory=trio.Event)
-    _reads: _Budget = attrs.field(factory=_Budget)
-    _writes: _Budget = attrs.field(factory=_Budget)
+    _objects_changed: trio.Event = attrs.field(factory=trio.Event)
+    _read_bucket: _TokenBucket = attrs.field(factory=_TokenBucket)
+    _write_bucket: _TokenBucket = attrs.field(factory=_TokenBucket)
 
     def list_boxes(self, boxes: list[BoxEntry]) -> None:
-        """Set the list of boxes; readers see it ``list_lag_s`` later."""
-        at = trio.current_time() + self.list_lag_s if self._boxes else -math.inf
-        self._boxes.append((at, boxes))
+        """Set the list of boxes; it becomes visible ``list_lag_s`` later."""
+        visible_at = trio.current_time() + self.list_lag_s if self._boxes else -math.inf
+        self._boxes.append((visible_at, boxes))
 
     def visible_boxes(self) -> list[BoxEntry]:
-        """Return the list as readers see it now."""
+        """Return the list of boxes that is visible now."""
         now = trio.current_time()
         visible: list[BoxEntry] = []
-        for at, boxes in self._boxes:
-            if at <= now:
+        for visible_at, boxes in self._boxes:
+            if visible_at <= now:
                 visible = boxes
         return visible
 
     def put(self, key: str, value: Any, if_version: int, attempt: str) -> tuple[bool, StoredObject]:
-        """Update an object if it is at ``if_version``."""
+        """Update an object if its version is ``if_version``."""
         current = self.objects.get(key, StoredObject(key, None, 0))
         if current.version != if_version:
             return False, current
         stored = StoredObject(key, value, current.version + 1, attempt)
         self.objects[key] = stored
-        self._changed.set()
-        self._changed = trio.Event()
+        self._objects_changed.set()
+        self._objects_changed = trio.Event()
         return True, stored
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call."""
+        """Handle one call."""
         if request.path == "/control":
-            return self._control(request.json())
+            return self._handle_control(request.json())
         kind = "watch" if request.path.startswith("/watch/") else request.method.lower()
         self.calls[kind] = self.calls.get(kind, 0) + 1
         await trio.sleep(self.latency_s + self.faults.slow_ms / 1000)
         if self.faults.outage:
             return HttpResponse(503, {"error": "outage"}, close=True)
-        budget, rate = (
-            (self._writes, self.faults.writes_per_s)
+        bucket, rate = (
+            (self._write_bucket, self.faults.writes_per_s)
             if request.method in ("PUT", "DELETE")
-            else (self._reads, self.faults.reads_per_s)
+            else (self._read_bucket, self.faults.reads_per_s)
         )
-        if not budget.take(rate, trio.current_time()):
+        if not bucket.try_take(rate, trio.current_time()):
             return HttpResponse(429, {"error": "over the rate"})
         return await self._route(request)
 
@@ -144,11 +146,11 @@
         if len(request.body) > MAX_VALUE_BYTES:
             return HttpResponse(413, {"error": "values hold at most a megabyte"})
         body = request.json()
-        done, stored = self.put(key, body["value"], body["if_version"], body["attempt"])
-        if done and self.faults.lose_answers > 0:
+        is_updated, stored = self.put(key, body["value"], body["if_version"], body["attempt"])
+        if is_updated and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             return HttpResponse(504, {"error": "answer lost"}, close=True)
-        return HttpResponse(200 if done else 409, to_json(stored))
+        return HttpResponse(200 if is_updated else 409, to_json(stored))
 
     async def _watch(self, key: str, query: dict[str, str]) -> HttpResponse:
         after = int(query.get("after", "0"))
@@ -159,24 +161,24 @@
                     return HttpResponse(503, {"error": "outage"}, close=True)
                 if stored is not None and stored.version > after:
                     return HttpResponse(200, to_json(stored))
-                await self._changed.wait()
+                await self._objects_changed.wait()
         return HttpResponse(204, b"")
 
-    def _control(self, body: Any) -> HttpResponse:
+    def _handle_control(self, body: Any) -> HttpResponse:
         if "boxes" in body:
             self.list_boxes(from_peer(body.pop("boxes"), list[BoxEntry]))
         for name, value in body.items():
             setattr(self.faults, name, value)
         if self.faults.outage:
-            self._changed.set()
-            self._changed = trio.Event()
+            self._objects_changed.set()
+            self._objects_changed = trio.Event()
         return HttpResponse(200, {"calls": self.calls})
 
 
 async def serve_platform(
     platform: Platform, transport: Transport, address: str, task_status: trio.TaskStatus[str]
 ) -> None:
-    """Serve ``platform`` for ever."""
+    """Serve ``platform`` until cancelled."""
 
     async def handle(stream: trio.abc.Stream) -> None:
         await serve_stream(stream, platform.handle)
--- a/wharftiller/tests/soak/faults.py
+++ b/wharftiller/tests/soak/faults.py
@@ -108,7 +108,7 @@
             store.deaf_watches = True
             await trio.sleep(DEAF_WATCHES_S)
             store.deaf_watches = False
-            store.forget_history()
+            store.compact_history()
         case FaultKind.CHANGE_CONFIGURATION:
             deployment.configure()
         case _:
