--- a/standins/platform.py
+++ b/standins/platform.py
@@ -31,7 +31,7 @@
     slow_ms : int
         Delay added to every call.
     lose_answers : int
-        How many of the next updates try_take effect without a reply.
+        How many of the next updates take effect without a reply.
     reads_per_s, writes_per_s : float
         Rate limits.
     """
--- a/wharftiller/tests/soak/__init__.py
+++ b/wharftiller/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: box processes under faults from outside, their promises checked throughout."""
+"""Randomized soak test: box processes under injected faults, with their guarantees checked."""
--- a/wharftiller/tests/soak/deployment.py
+++ b/wharftiller/tests/soak/deployment.py
@@ -1,7 +1,7 @@
-"""A deployment on this machine: box processes, and stand-ins behind loopback proxies.
+"""A local deployment: box processes, and stand-ins behind loopback proxies.
 
-The stand-ins run in the soak's own process, so that what endpoints do is seen from
-inside; the boxes are real processes and are reached only from outside.
+The stand-ins run in the process of the soak test, which records what the endpoints
+do; the boxes are real processes and are used only over their addresses.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from standins.object_store import ObjectStoreStandIn
 from wharftiller.edges.transport import TcpTransport
 from wharftiller.tests.platform.world import configuration
-from wharftiller.tests.soak.ledger import Ledger, WatchedGroup
+from wharftiller.tests.soak.ledger import History, RecordingGroup
 from wharftiller.tests.soak.links import Link
 
 if TYPE_CHECKING:
@@ -30,13 +30,13 @@
 ROOT = Path(__file__).parents[3]
 
 GRACE_S = 6.0
-"""Time between being told to stop and being killed, in seconds."""
+"""Time that a box has for a graceful stop, in seconds."""
 
-ENDED_LOOK_S = 0.02
-"""Time between looks at whether a process has ended, in seconds."""
+EXIT_POLL_S = 0.02
+"""Time between checks whether a process has exited, in seconds."""
 
-REGISTER_S = 0.2
-"""Time between looks at whether an endpoint's role has changed, in seconds."""
+REGISTER_POLL_S = 0.2
+"""Time between checks whether the role of an endpoint has changed, in seconds."""
 
 CALLERS_PORT, READY_PORT, BOXES_PORT, RELAY_PORT = 7001, 7002, 7003, 7010
 ENDPOINT_PORT, STORE_PORT = 7500, 7600
@@ -44,16 +44,16 @@
 
 @attrs.define(eq=False)
 class BoxProcess:
-    """One box: where it is, and its process.
+    """One box: its addresses, settings and process.
 
     Attributes
     ----------
     folder : Path
-        Where its settings are, and the log of each of its processes.
+        Folder of its settings and of the log of each of its processes.
     restarts : int
-        Processes started so far, the first one included.
+        Number of processes started so far, including the first.
     stopping_since : float or None
-        When its process was told to stop, in seconds; None if it was not or was killed.
+        Time of the planned stop of its process, in seconds; None without one or after a kill.
     """
 
     name: str
@@ -64,12 +64,12 @@
     stopping_since: float | None = None
 
     @property
-    def callers(self) -> str:
-        """Where callers connect."""
+    def caller_address(self) -> str:
+        """Address that callers connect to."""
         return f"{self.ip}:{CALLERS_PORT}"
 
     def start(self) -> None:
-        """Start the process; its log goes to a file of its own."""
+        """Start the process with a new log file."""
         self.stopping_since = None
         environment = {**os.environ, "PYTHONPATH": str(ROOT)}
         environment["WHARFTILLER_SETTINGS"] = str(self.folder / f"{self.name}.json")
@@ -84,19 +84,19 @@
         self.restarts += 1
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process that this soak started."""
+        """Send a signal to the process if it is running."""
         assert self.process is not None
         if self.process.poll() is None:
             self.process.send_signal(number)
 
-    async def ended(self) -> None:
-        """Wait for the process's end."""
+    async def wait_for_exit(self) -> None:
+        """Wait until the process has exited."""
         assert self.process is not None
         while self.process.poll() is None:
-            await trio.sleep(ENDED_LOOK_S)
+            await trio.sleep(EXIT_POLL_S)
 
     def kill(self) -> None:
-        """End the process at once; what it cuts then is not cut by a planned stop."""
+        """Kill the process; statements cut by this do not count as cut by a planned stop."""
         self.stopping_since = None
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
@@ -105,35 +105,37 @@
 
 
 class Deployment:
-    """Boxes, endpoints, the store and the links between them."""
+    """Boxes, endpoints, the object store and the links between them."""
 
     def __init__(
-        self, folder: Path, ledger: Ledger, boxes: int, groups: int, connections: int
+        self, folder: Path, history: History, boxes: int, groups: int, connections: int
     ) -> None:
-        # An address range of this process's own, so that soaks can run side by side.
-        self._net = f"127.{20 + os.getpid() % 200}"
+        # A loopback range per process, so that several soak tests can run at once.
+        self._ip_prefix = f"127.{20 + os.getpid() % 200}"
         self._folder = folder
         self._connections = connections
-        self.ledger = ledger
+        self.history = history
         self.groups = [self._group(f"group{number}", number) for number in range(groups)]
         self.store = ObjectStoreStandIn(list(self.groups))
         self.version = 0
         self.links: list[Link] = []
         self.boxes = [self._box(number, boxes) for number in range(boxes)]
 
-    def _group(self, name: str, number: int) -> WatchedGroup:
-        group = WatchedGroup(name, max_connections=self._connections)
-        group.ledger = self.ledger
-        for place, centre in enumerate("abc"):
-            address = f"{self._net}.{30 + number}.{place + 1}:{ENDPOINT_PORT}"
-            server = LineServer(f"{name}-{place}", group, address, centre, leads=place == 0)
+    def _group(self, name: str, number: int) -> RecordingGroup:
+        group = RecordingGroup(name, max_connections=self._connections)
+        group.history = self.history
+        for index, data_centre in enumerate("abc"):
+            address = f"{self._ip_prefix}.{30 + number}.{index + 1}:{ENDPOINT_PORT}"
+            server = LineServer(f"{name}-{index}", group, address, data_centre, leads=index == 0)
             group.servers.append(server)
         return group
 
     def _box(self, number: int, boxes: int) -> BoxProcess:
-        ip = f"{self._net}.10.{number + 1}"
+        ip = f"{self._ip_prefix}.10.{number + 1}"
         store = Link(
-            f"store of box-{number}", f"{self._net}.20.{number + 1}:{STORE_PORT}", self._store
+            f"store of box-{number}",
+            f"{self._ip_prefix}.20.{number + 1}:{STORE_PORT}",
+            self._store_address,
         )
         self.links.append(store)
         settings = {
@@ -146,7 +148,9 @@
                 "Control": f"{ip}:{BOXES_PORT}",
             },
             "InternalPorts": [RELAY_PORT, RELAY_PORT + 5],
-            "Seeds": [f"{self._net}.10.{each + 1}:{BOXES_PORT}" for each in range(min(3, boxes))],
+            "Seeds": [
+                f"{self._ip_prefix}.10.{each + 1}:{BOXES_PORT}" for each in range(min(3, boxes))
+            ],
             "platform": {"Address": store.address},
             "CloudApi": {"Address": store.address},
             "Bounds": {"GraceS": GRACE_S},
@@ -156,8 +160,8 @@
         return BoxProcess(f"box-{number}", ip, self._folder)
 
     @property
-    def _store(self) -> str:
-        return f"{self._net}.20.250:{STORE_PORT}"
+    def _store_address(self) -> str:
+        return f"{self._ip_prefix}.20.250:{STORE_PORT}"
 
     @property
     def servers(self) -> list[LineServer]:
@@ -166,7 +170,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start stand-ins, links and boxes."""
-        await nursery.start(self.store.serve, TcpTransport(), self._store)
+        await nursery.start(self.store.serve, TcpTransport(), self._store_address)
         for group in self.groups:
             group.nursery = nursery
             for server in group.servers:
@@ -176,20 +180,20 @@
             await nursery.start(link.serve)
         for box in self.boxes:
             box.start()
-        nursery.start_soon(self._register_for_ever)
+        nursery.start_soon(self._keep_registering)
 
     async def _start_server(self, nursery: trio.Nursery, server: LineServer) -> None:
-        outside = server.address
-        host, port = outside.split(":")
-        inside = f"{host.rpartition('.')[0]}.{int(host.rpartition('.')[2]) + 100}:{port}"
-        server.address = inside
+        proxy_address = server.address
+        host, port = proxy_address.split(":")
+        server_address = f"{host.rpartition('.')[0]}.{int(host.rpartition('.')[2]) + 100}:{port}"
+        server.address = server_address
         await nursery.start(serve_server, server, TcpTransport())
-        server.address = outside
-        self.links.append(Link(server.name, outside, inside))
+        server.address = proxy_address
+        self.links.append(Link(server.name, proxy_address, server_address))
 
-    async def _register_for_ever(self) -> None:
-        """Have every endpoint tell the store of its role."""
-        told: dict[str, Any] = {}
+    async def _keep_registering(self) -> None:
+        """Keep the roles of the endpoints in the store up to date."""
+        registered: dict[str, Any] = {}
         while True:
             for server in self.servers:
                 entry = {
@@ -199,22 +203,22 @@
                     "State": "ready",
                     "DbRole": "primary" if server.leads else "replica",
                 }
-                if told.get(server.name) != entry:
-                    told[server.name] = entry
+                if registered.get(server.name) != entry:
+                    registered[server.name] = entry
                     self.store.set("servers", server.name, entry)
-            await trio.sleep(REGISTER_S)
+            await trio.sleep(REGISTER_POLL_S)
 
     def configure(self) -> None:
-        """Put the next version of the configuration in force."""
+        """Publish the next version of the configuration."""
         self.version += 1
         self.store.set("config", "main", configuration(self.version, list(self.groups)))
 
-    def end(self) -> None:
-        """End every process that this deployment started."""
+    def kill_boxes(self) -> None:
+        """Kill every process that this deployment started."""
         for box in self.boxes:
             box.kill()
 
-    def each_link(self, act: Callable[[Link], None]) -> None:
-        """Do something with every link."""
+    def for_each_link(self, action: Callable[[Link], None]) -> None:
+        """Call ``action`` with every link."""
         for link in self.links:
-            act(link)
+            action(link)
--- a/wharftiller/tests/soak/faults.py
+++ b/wharftiller/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carry the planned faults out on a deployment."""
+"""Inject the planned faults into a deployment."""
 
 from __future__ import annotations
 
@@ -16,32 +16,34 @@
     from wharftiller.tests.soak.links import Link
     from wharftiller.tests.soak.plan import Fault
 
-DELAY_S = 0.15
-"""Delay of a delayed link, in seconds: fifty round trips between data centres."""
+LINK_DELAY_S = 0.15
+"""Delay of a delayed link, in seconds; fifty times the round trip between data centres."""
 
-DEAF_WATCHES_S = 1.0
-"""Time for which watches tell nothing before the store forgets its history, in seconds."""
+WATCHES_SUSPENDED_S = 1.0
+"""Time for which watches deliver nothing before the history is compacted, in seconds."""
 
 
-async def carry_out(deployment: Deployment, fault: Fault) -> None:
-    """Wait until a fault's time, then do to its target what its kind says."""
+async def inject_fault(deployment: Deployment, fault: Fault) -> None:
+    """Wait until the fault's time, then inject it into its target."""
     await trio.sleep(fault.at_s)
     if fault.kind in BOX_KINDS:
-        await _on_box(deployment.boxes[fault.target % len(deployment.boxes)], fault)
+        await _inject_box_fault(deployment.boxes[fault.target % len(deployment.boxes)], fault)
     elif fault.kind in LINK_KINDS:
-        await _on_link(deployment.links[fault.target % len(deployment.links)], fault)
+        await _inject_link_fault(deployment.links[fault.target % len(deployment.links)], fault)
     elif fault.kind in SERVER_KINDS:
-        await _on_server(deployment.servers[fault.target % len(deployment.servers)], fault)
+        await _inject_server_fault(
+            deployment.servers[fault.target % len(deployment.servers)], fault
+        )
     else:
-        await _on_store(deployment, fault)
+        await _inject_store_fault(deployment, fault)
 
 
-async def _on_box(box: BoxProcess, fault: Fault) -> None:
+async def _inject_box_fault(box: BoxProcess, fault: Fault) -> None:
     match fault.kind:
         case FaultKind.KILL_BOX:
             box.kill()
             await trio.sleep(fault.for_s / 2)
-            _start_again(box)
+            _restart(box)
         case FaultKind.PAUSE_BOX:
             box.signal(signal.SIGSTOP)
             await trio.sleep(fault.for_s)
@@ -49,67 +51,69 @@
         case FaultKind.STOP_BOX:
             box.stopping_since = trio.current_time()
             box.signal(signal.SIGTERM)
-            await box.ended()
-            _start_again(box)
+            await box.wait_for_exit()
+            _restart(box)
         case FaultKind.RELOAD_BOX:
             box.signal(signal.SIGHUP)
         case _:
-            raise AssertionError(f"{fault.kind} is no fault of a box")
+            raise AssertionError(f"{fault.kind} is not a fault of a box")
 
 
-def _start_again(box: BoxProcess) -> None:
-    # A fault of the other series may have started it meanwhile.
+def _restart(box: BoxProcess) -> None:
+    # A fault of another series may have started it in the meantime.
     if box.process is None or box.process.poll() is not None:
         box.start()
 
 
-async def _on_link(link: Link, fault: Fault) -> None:
+async def _inject_link_fault(link: Link, fault: Fault) -> None:
     match fault.kind:
         case FaultKind.DELAY_LINK:
-            link.delay_s = DELAY_S
+            link.delay_s = LINK_DELAY_S
             await trio.sleep(fault.for_s)
             link.delay_s = 0.0
         case FaultKind.RESET_LINK:
             link.reset()
         case FaultKind.SILENCE_LINK:
-            link.silent_there = link.silent_back = True
+            link.blocks_to_target = link.blocks_from_target = True
             await trio.sleep(fault.for_s)
-            link.silent_there = link.silent_back = False
+            link.blocks_to_target = link.blocks_from_target = False
         case FaultKind.CUT_ONE_WAY:
-            link.silent_back = True
+            link.blocks_from_target = True
             await trio.sleep(fault.for_s)
-            link.silent_back = False
+            link.blocks_from_target = False
         case _:
-            raise AssertionError(f"{fault.kind} is no fault of a link")
+            raise AssertionError(f"{fault.kind} is not a fault of a link")
 
 
-async def _on_server(server: LineServer, fault: Fault) -> None:
+async def _inject_server_fault(server: LineServer, fault: Fault) -> None:
     match fault.kind:
-        case FaultKind.DEAF_REPLICA:
+        case FaultKind.REPLICATION_SUSPENDED:
             server.deaf = True
             await trio.sleep(fault.for_s)
             server.deaf = False
-        case FaultKind.LOST_ANSWER:
+        case FaultKind.LOST_REPLY:
             server.lose_answers += 1
         case _:
-            raise AssertionError(f"{fault.kind} is no fault of an endpoint")
+            raise AssertionError(f"{fault.kind} is not a fault of an endpoint")
 
 
-async def _on_store(deployment: Deployment, fault: Fault) -> None:
+async def _inject_store_fault(deployment: Deployment, fault: Fault) -> None:
     store = deployment.store
     match fault.kind:
-        case FaultKind.STORE_AWAY | FaultKind.STORE_BUSY:
-            store.mode = StoreMode.AWAY if fault.kind is FaultKind.STORE_AWAY else StoreMode.BUSY
+        case FaultKind.STORE_UNAVAILABLE | FaultKind.STORE_BUSY:
+            store.mode = (
+                StoreMode.AWAY if fault.kind is FaultKind.STORE_UNAVAILABLE else StoreMode.BUSY
+            )
             await trio.sleep(fault.for_s)
             store.mode = StoreMode.WELL
-        case FaultKind.STORE_LOSES_ANSWERS:
+        case FaultKind.STORE_LOSES_REPLIES:
             store.lose_answers += 2
-        case FaultKind.STORE_FORGETS:
+        case FaultKind.STORE_COMPACTS_HISTORY:
             store.deaf_watches = True
-            await trio.sleep(DEAF_WATCHES_S)
+            await trio.sleep(WATCHES_SUSPENDED_S)
             store.deaf_watches = False
             store.compact_history()
         case FaultKind.CHANGE_CONFIGURATION:
             deployment.configure()
         case _:
-            raise AssertionError(f"{fault.kind} is no fault of the store")
+            raise AssertionError(f"{fault.kind} is not a fault of the store")
--- a/wharftiller/tests/soak/ledger.py
+++ b/wharftiller/tests/soak/ledger.py
@@ -1,7 +1,7 @@
-"""What callers were told and what endpoints did, and the promises between the two.
+"""The history of a run as callers and endpoints saw it, and the guarantees checked on it.
 
-Every thing is written by one caller only, with numbers that rise, so a read's value
-tells which writes it saw.
+Each key is written by one caller with increasing numbers, so the value of a read
+shows which writes it includes.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from wharftiller.core.sessions.statements import RefusalKind
 from wharftiller.platform.wire import CODES
 
-NOTHING_KEPT = frozenset(
+NOT_COMMITTED_CODES = frozenset(
     CODES[kind]
     for kind in (
         RefusalKind.NO_CAPACITY,
@@ -24,18 +24,18 @@
         RefusalKind.TOO_MANY_CONNECTIONS,
     )
 )
-"""Codes after which nothing of a statement may be kept."""
+"""Refusal codes after which no effect of a statement may be committed."""
 
 MAX_AGE_S = 1.5
-"""Age that bounded reads and reads of own writes accept, in seconds."""
+"""Maximum staleness of bounded reads and of reads of own writes, in seconds."""
 
 
 @attrs.frozen
 class Commit:
-    """A write that a server committed."""
+    """A write that a server committed; ``at`` is in seconds."""
 
     request: str
-    thing: str
+    key: str
     number: int
     group: str
     server: str
@@ -44,8 +44,8 @@
 
 
 @attrs.frozen
-class Told:
-    """How a caller's write ended.
+class WriteOutcome:
+    """How a write ended for its caller.
 
     Attributes
     ----------
@@ -54,130 +54,148 @@
     """
 
     request: str
-    thing: str
+    key: str
     number: int
     code: str
     at: float
 
 
 @attrs.frozen
-class Seen:
-    """What a read returned.
+class ReadResult:
+    """Result of a read.
 
     Attributes
     ----------
     own_number : int
-        Newest number of the thing that this session had acknowledged before.
+        Newest number of the key that was acknowledged to the session before the read.
     """
 
     request: str
-    thing: str
+    key: str
     kind: str
     number: int
-    asked_at: float
+    started_at: float
     own_number: int
 
 
 @attrs.define
-class Ledger:
-    """Everything seen from outside in one run."""
+class History:
+    """Everything recorded in one run.
+
+    Attributes
+    ----------
+    rolled_back : set of str
+        Ids of the writes that a promotion discarded.
+    promoted_at : dict of (str, int) to float
+        Time at which a primary was promoted, by group and term, in seconds.
+    findings : list of str
+        Violations found while the run lasted.
+    """
 
     commits: list[Commit] = attrs.field(factory=list)
-    told: list[Told] = attrs.field(factory=list)
-    seen: list[Seen] = attrs.field(factory=list)
+    writes: list[WriteOutcome] = attrs.field(factory=list)
+    reads: list[ReadResult] = attrs.field(factory=list)
     rolled_back: set[str] = attrs.field(factory=set)
-    led_since: dict[tuple[str, int], float] = attrs.field(factory=dict)
-    faults: list[str] = attrs.field(factory=list)
+    promoted_at: dict[tuple[str, int], float] = attrs.field(factory=dict)
+    findings: list[str] = attrs.field(factory=list)
 
-    def broken(self) -> list[str]:
-        """Return every broken promise, in words."""
+    def violations(self) -> list[str]:
+        """Return a description of every violated guarantee."""
         return [
-            *self.faults,
-            *self._lost_or_twice(),
-            *self._kept_though_refused(),
-            *self._by_an_old_primary(),
-            *self._stale(),
+            *self.findings,
+            *self._lost_or_repeated_writes(),
+            *self._refused_but_committed(),
+            *self._acknowledged_by_old_primary(),
+            *self._stale_reads(),
         ]
 
-    def _lost_or_twice(self) -> list[str]:
-        count: dict[str, int] = {}
+    def _lost_or_repeated_writes(self) -> list[str]:
+        commit_counts: dict[str, int] = {}
         for commit in self.commits:
-            count[commit.request] = count.get(commit.request, 0) + 1
-        broken = [f"{request} committed {n} times" for request, n in count.items() if n > 1]
-        broken += [
-            f"{told.request} acknowledged but committed nowhere"
-            for told in self.told
-            if told.code == "done" and told.request not in count
+            commit_counts[commit.request] = commit_counts.get(commit.request, 0) + 1
+        violations = [
+            f"{request} committed {n} times" for request, n in commit_counts.items() if n > 1
+        ]
+        violations += [
+            f"{write.request} acknowledged but committed nowhere"
+            for write in self.writes
+            if write.code == "done" and write.request not in commit_counts
         ]
-        return broken
+        return violations
 
-    def _kept_though_refused(self) -> list[str]:
-        kept = {commit.request for commit in self.commits}
+    def _refused_but_committed(self) -> list[str]:
+        committed_ids = {commit.request for commit in self.commits}
         return [
-            f"{told.request} refused with {told.code} but committed"
-            for told in self.told
-            if told.code in NOTHING_KEPT and told.request in kept
+            f"{write.request} refused with {write.code} but committed"
+            for write in self.writes
+            if write.code in NOT_COMMITTED_CODES and write.request in committed_ids
         ]
 
-    def _by_an_old_primary(self) -> list[str]:
-        done = {told.request for told in self.told if told.code == "done"}
+    def _acknowledged_by_old_primary(self) -> list[str]:
+        done = {write.request for write in self.writes if write.code == "done"}
         return [
             f"{commit.request} acknowledged, committed in term {commit.term} after a newer one led"
             for commit in self.commits
             if commit.request in done
             and any(
                 group == commit.group and term > commit.term and at < commit.at
-                for (group, term), at in self.led_since.items()
+                for (group, term), at in self.promoted_at.items()
             )
         ]
 
-    def _stale(self) -> list[str]:
+    def _stale_reads(self) -> list[str]:
         acknowledged: dict[str, list[tuple[float, int]]] = {}
-        for told in self.told:
-            if told.code == "done" and told.request not in self.rolled_back:
-                acknowledged.setdefault(told.thing, []).append((told.at, told.number))
-        broken = []
-        for seen in self.seen:
-            before = seen.asked_at - (0.0 if seen.kind == "primary" else MAX_AGE_S)
-            acks = acknowledged.get(seen.thing, ())
-            needed = max((number for at, number in acks if at < before), default=0)
-            if seen.kind == "read_own_writes":
-                own = [number for _, number in acks if number <= seen.own_number]
-                needed = max(needed, *own, 0)
-            if seen.number < needed:
-                broken.append(f"{seen.request} ({seen.kind}) saw {seen.number}, not {needed}")
-        return broken
-
-
-class WatchedGroup(LineGroup):
-    """A group that tells the ledger of what its servers commit."""
-
-    ledger: Ledger
+        for write in self.writes:
+            if write.code == "done" and write.request not in self.rolled_back:
+                acknowledged.setdefault(write.key, []).append((write.at, write.number))
+        violations = []
+        for read in self.reads:
+            acknowledged_before = read.started_at - (0.0 if read.kind == "primary" else MAX_AGE_S)
+            acks = acknowledged.get(read.key, ())
+            min_number = max((number for at, number in acks if at < acknowledged_before), default=0)
+            if read.kind == "read_own_writes":
+                own_numbers = [number for _, number in acks if number <= read.own_number]
+                min_number = max(min_number, *own_numbers, 0)
+            if read.number < min_number:
+                violations.append(
+                    f"{read.request} ({read.kind}) saw {read.number}, not {min_number}"
+                )
+        return violations
+
+
+class RecordingGroup(LineGroup):
+    """A group that records the commits and promotions of its servers."""
+
+    history: History
 
     async def commit(
         self, server: LineServer, writes: tuple[tuple[str, str], ...], request_id: str
     ) -> None:
-        """Note a commit, then carry it out."""
-        for thing, data in writes:
+        """Record a commit, then run it."""
+        for key, data in writes:
             now = trio.current_time()
             number = int(data)
-            self.ledger.commits.append(
-                Commit(request_id, thing, number, self.name, server.name, server.term, now)
+            self.history.commits.append(
+                Commit(request_id, key, number, self.name, server.name, server.term, now)
             )
         await super().commit(server, writes, request_id)
 
     async def promote(self, name: str, holder: str, fence: int) -> bool:
-        """Carry a promotion out, then note who leads and what it rolled back."""
-        ordered = await super().promote(name, holder, fence)
+        """Run a promotion, then record its time and the writes that it discarded."""
+        is_promoted = await super().promote(name, holder, fence)
         leader = next(each for each in self.servers if each.name == name)
-        if ordered and leader.leads and (self.name, leader.term) not in self.ledger.led_since:
-            self.ledger.led_since[self.name, leader.term] = trio.current_time()
-            kept = {record.request_id for record in leader.log}
-            for commit in self.ledger.commits:
-                older = commit.group == self.name and commit.term < leader.term
-                if older and commit.request not in kept:
-                    self.ledger.rolled_back.add(commit.request)
+        if (
+            is_promoted
+            and leader.leads
+            and (self.name, leader.term) not in self.history.promoted_at
+        ):
+            self.history.promoted_at[self.name, leader.term] = trio.current_time()
+            kept_ids = {record.request_id for record in leader.log}
+            for commit in self.history.commits:
+                is_older = commit.group == self.name and commit.term < leader.term
+                if is_older and commit.request not in kept_ids:
+                    self.history.rolled_back.add(commit.request)
         fences = [each for _, _, each in self.promotions]
         if fences != sorted(fences):
-            self.ledger.faults.append(f"fences fell: {fences}")
-        return ordered
+            self.history.findings.append(f"fences decreased: {fences}")
+        return is_promoted
--- a/wharftiller/tests/soak/plan.py
+++ b/wharftiller/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults come when: drawn from a seed, in series that overlap."""
+"""Schedule of faults, drawn from a seed as overlapping series."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FaultKind(enum.Enum):
-    """What is done to a target."""
+    """Kind of a fault."""
 
     KILL_BOX = "kill_box"
     PAUSE_BOX = "pause_box"
@@ -19,12 +19,12 @@
     RESET_LINK = "reset_link"
     SILENCE_LINK = "silence_link"
     CUT_ONE_WAY = "cut_one_way"
-    STORE_AWAY = "store_away"
+    STORE_UNAVAILABLE = "store_unavailable"
     STORE_BUSY = "store_busy"
-    STORE_LOSES_ANSWERS = "store_loses_answers"
-    STORE_FORGETS = "store_forgets"
-    DEAF_REPLICA = "deaf_replica"
-    LOST_ANSWER = "lost_answer"
+    STORE_LOSES_REPLIES = "store_loses_replies"
+    STORE_COMPACTS_HISTORY = "store_compacts_history"
+    REPLICATION_SUSPENDED = "replication_suspended"
+    LOST_REPLY = "lost_reply"
     CHANGE_CONFIGURATION = "change_configuration"
 
 
@@ -40,34 +40,34 @@
     FaultKind.SILENCE_LINK,
     FaultKind.CUT_ONE_WAY,
 )
-SERVER_KINDS = (FaultKind.DEAF_REPLICA, FaultKind.LOST_ANSWER)
+SERVER_KINDS = (FaultKind.REPLICATION_SUSPENDED, FaultKind.LOST_REPLY)
 
 QUIET_START_S = 1.0
 """Time without faults at the start, in seconds."""
 
-SHORTEST_S = 0.2
-"""Shortest fault, in seconds."""
+MIN_FAULT_S = 0.2
+"""Minimum duration of a fault, in seconds."""
 
-LONGEST_S = 5.0
-"""Longest fault, in seconds: below the lease, so that some end before a change and some after."""
+MAX_FAULT_S = 5.0
+"""Maximum duration of a fault, in seconds; below the lease, so that some end before a failover."""
 
-PAUSE_S = (0.3, 2.5)
+PAUSE_BOUNDS_S = (0.3, 2.5)
 """Bounds of the pause between two faults of one series, in seconds."""
 
-SERIES = 2
-"""Series that run at the same time, each one fault after the other."""
+SERIES_COUNT = 2
+"""Number of concurrent series; the faults of one series follow one another."""
 
 
 @attrs.frozen
 class Fault:
-    """One fault.
+    """One scheduled fault.
 
     Attributes
     ----------
     at_s, for_s : float
-        When it begins after the load does, and how long it lasts, in seconds.
+        Start relative to the start of the load, and duration, in seconds.
     target : int
-        Number of the box, link or server, taken modulo how many there are.
+        Index of the box, link or server, modulo their number.
     """
 
     at_s: float
@@ -79,13 +79,13 @@
 def plan_faults(
     seed: int, seconds: float, kinds: tuple[FaultKind, ...] = tuple(FaultKind)
 ) -> list[Fault]:
-    """Return the faults of a run, by the time they begin."""
-    draw = random.Random(seed)
+    """Return the faults of a run, sorted by start."""
+    rng = random.Random(seed)
     faults = []
-    for _ in range(SERIES):
-        at_s = QUIET_START_S + draw.uniform(0.0, PAUSE_S[1])
+    for _ in range(SERIES_COUNT):
+        at_s = QUIET_START_S + rng.uniform(0.0, PAUSE_BOUNDS_S[1])
         while at_s < seconds:
-            for_s = draw.uniform(SHORTEST_S, LONGEST_S)
-            faults.append(Fault(at_s, draw.choice(kinds), draw.randrange(1000), for_s))
-            at_s += draw.uniform(*PAUSE_S) + for_s * draw.random()
+            for_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
+            faults.append(Fault(at_s, rng.choice(kinds), rng.randrange(1000), for_s))
+            at_s += rng.uniform(*PAUSE_BOUNDS_S) + for_s * rng.random()
     return sorted(faults, key=lambda fault: fault.at_s)
--- a/wharftiller/tests/soak/test_soak.py
+++ b/wharftiller/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak, and that its ledger finds every kind of broken promise."""
+"""A short soak test with fixed seeds, and tests of the checks on its history."""
 
 from __future__ import annotations
 
@@ -8,69 +8,72 @@
 import pytest
 import trio
 
-from wharftiller.tests.soak.ledger import Commit, Ledger, Seen, Told
+from wharftiller.tests.soak.ledger import Commit, History, ReadResult, WriteOutcome
 from wharftiller.tests.soak.run import Shape, SoakRun
 
 SHORT = Shape(seconds=5.0)
 SCARCE = attrs.evolve(SHORT, boxes=6, connections=8)
 
 COMMIT = Commit("1", "seat", 1, "seats", "seats-0", 1, 10.0)
-DONE = Told("1", "seat", 1, "done", 10.1)
-READ = Seen("2", "seat", "primary", 0, 11.0, 0)
+DONE = WriteOutcome("1", "seat", 1, "done", 10.1)
+READ = ReadResult("2", "seat", "primary", 0, 11.0, 0)
 
 
 class TestSoak:
     @pytest.mark.parametrize(("seed", "shape"), [(2, SHORT), (8, SCARCE)])
-    def test_no_promise_is_broken(self, seed: int, shape: Shape, tmp_path: Path) -> None:
+    def test_no_guarantee_is_violated(self, seed: int, shape: Shape, tmp_path: Path) -> None:
         run = SoakRun(seed, shape, tmp_path)
         assert trio.run(run.run) == []
-        assert run.ledger.told
-        assert run.ledger.seen
+        assert run.history.writes
+        assert run.history.reads
 
 
-class TestLedger:
-    def test_what_was_promised_and_kept_is_no_finding(self) -> None:
-        seen = attrs.evolve(READ, number=1)
-        assert Ledger(commits=[COMMIT], told=[DONE], seen=[seen]).broken() == []
+class TestHistory:
+    def test_a_correct_history_has_no_violation(self) -> None:
+        read = attrs.evolve(READ, number=1)
+        assert History(commits=[COMMIT], writes=[DONE], reads=[read]).violations() == []
 
     @pytest.mark.parametrize(
-        ("ledger", "says"),
+        ("history", "expected_text"),
         [
-            (Ledger(told=[DONE]), "committed nowhere"),
-            (Ledger(commits=[COMMIT, COMMIT], told=[DONE]), "2 times"),
-            (Ledger(commits=[COMMIT], told=[attrs.evolve(DONE, code="ABORTED")]), "refused"),
-            (Ledger(commits=[COMMIT], told=[DONE], led_since={("seats", 2): 9.0}), "newer one led"),
-            (Ledger(commits=[COMMIT], told=[DONE], seen=[READ]), "saw 0"),
+            (History(writes=[DONE]), "committed nowhere"),
+            (History(commits=[COMMIT, COMMIT], writes=[DONE]), "2 times"),
+            (History(commits=[COMMIT], writes=[attrs.evolve(DONE, code="ABORTED")]), "refused"),
             (
-                Ledger(
+                History(commits=[COMMIT], writes=[DONE], promoted_at={("seats", 2): 9.0}),
+                "newer one led",
+            ),
+            (History(commits=[COMMIT], writes=[DONE], reads=[READ]), "saw 0"),
+            (
+                History(
                     commits=[COMMIT],
-                    told=[DONE],
-                    seen=[attrs.evolve(READ, kind="bounded_staleness", asked_at=11.7)],
+                    writes=[DONE],
+                    reads=[attrs.evolve(READ, kind="bounded_staleness", started_at=11.7)],
                 ),
                 "saw 0",
             ),
             (
-                Ledger(
+                History(
                     commits=[COMMIT],
-                    told=[DONE],
-                    seen=[attrs.evolve(READ, kind="read_own_writes", own_number=1)],
+                    writes=[DONE],
+                    reads=[attrs.evolve(READ, kind="read_own_writes", own_number=1)],
                 ),
                 "saw 0",
             ),
         ],
     )
-    def test_a_broken_promise_is_found(self, ledger: Ledger, says: str) -> None:
-        assert says in " ".join(ledger.broken())
+    def test_a_violation_is_found(self, history: History, expected_text: str) -> None:
+        assert expected_text in " ".join(history.violations())
 
-    def test_another_groups_promotion_is_no_finding(self) -> None:
-        """Seeds 20 and 21 were reported so: terms of two groups were taken for one's."""
-        ledger = Ledger(commits=[COMMIT], told=[DONE], led_since={("tours", 2): 9.0})
-        assert ledger.broken() == []
+    def test_a_promotion_in_another_group_is_no_violation(self) -> None:
+        """Terms of different groups are not compared."""
+        history = History(commits=[COMMIT], writes=[DONE], promoted_at={("tours", 2): 9.0})
+        assert history.violations() == []
 
-    def test_a_bounded_read_may_miss_what_was_acknowledged_lately(self) -> None:
-        seen = attrs.evolve(READ, kind="bounded_staleness", asked_at=10.5)
-        assert Ledger(commits=[COMMIT], told=[DONE], seen=[seen]).broken() == []
+    def test_a_bounded_read_may_miss_a_recent_write(self) -> None:
+        read = attrs.evolve(READ, kind="bounded_staleness", started_at=10.5)
+        assert History(commits=[COMMIT], writes=[DONE], reads=[read]).violations() == []
 
     def test_a_write_rolled_back_by_a_promotion_need_not_be_seen(self) -> None:
-        ledger = Ledger(commits=[COMMIT], told=[DONE], seen=[READ], rolled_back={"1"})
-        assert ledger.broken() == []
+        history = History(commits=[COMMIT], writes=[DONE], reads=[READ], rolled_back={"1"})
+        assert history.violations() == []
