--- a/wharftiller/core/admission.py
+++ b/wharftiller/core/admission.py
@@ -1,4 +1,4 @@
-"""Take a request in, or refuse it at once with when to come back."""
+"""Admission control: queue a request, or refuse it at once with a retry-after time."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from wharftiller.core.answers import RETRY_AFTER_FAILOVER_MS, jittered, refuse
-from wharftiller.core.queueing import Line
+from wharftiller.core.queueing import QueueKind
 from wharftiller.core.reasons import Reason, ReasonKind
-from wharftiller.core.routing import allowed_age_s, choose_line, replicas_of
+from wharftiller.core.routing import allowed_age_s, choose_queue, replicas_of
 from wharftiller.core.shares import connection_share
 from wharftiller.core.tables import RequestRow
 
@@ -18,25 +18,25 @@
 
 
 DEADLINE_FRACTION = 0.8
-"""Part of its deadline that a request may be expected to take when it is let in."""
+"""Largest fraction of its deadline that a request may be expected to take on admission."""
 
 
-def placement_fault(tables: Tables, request: Request) -> Reason | None:
-    """Return why the configuration has no place for ``request``, or None."""
+def placement_refusal(tables: Tables, request: Request) -> Reason | None:
+    """Return why the configuration does not place ``request`` on a group, or None."""
     configuration = tables.configuration
     if configuration.generation == 0:
-        detail = "this box has no configuration yet; come back shortly or ask another box"
+        detail = "this box has no configuration yet; retry shortly or use another box"
         return Reason(ReasonKind.NO_CONFIGURATION, detail)
     pool = configuration.pools.get(request.pool)
     if pool is None:
         detail = (
-            f"pool {request.pool!r} is not configured; this box knows "
+            f"pool {request.pool!r} is not configured; the configured pools are "
             f"{sorted(configuration.pools)}. Check the spelling, or confirm a plan that creates it"
         )
         return Reason(ReasonKind.UNKNOWN_POOL, detail)
     if request.business not in pool.businesses:
         detail = (
-            f"business {request.business!r} has no place in pool {request.pool!r}. "
+            f"business {request.business!r} is not placed in pool {request.pool!r}. "
             "Confirm a plan that places it on a group"
         )
         return Reason(ReasonKind.UNKNOWN_BUSINESS, detail)
@@ -44,32 +44,32 @@
 
 
 def admit(tables: Tables, key: int, request: Request, now: float) -> RequestRow | None:
-    """Put ``request`` in its line, or refuse it and return None."""
+    """Add ``request`` to its queue, or refuse it and return None."""
     if tables.stopping:
-        detail = "this box is stopping; ask again, the balancer picks another"
+        detail = "this box is stopping; retry, and the load balancer picks another box"
         refuse(tables, key, request, Reason(ReasonKind.BOX_STOPPING, detail), 1, now)
         return None
-    fault = placement_fault(tables, request)
-    if fault is not None:
-        unready = fault.kind is ReasonKind.NO_CONFIGURATION
+    refusal = placement_refusal(tables, request)
+    if refusal is not None:
+        unready = refusal.kind is ReasonKind.NO_CONFIGURATION
         retry_after_ms = RETRY_AFTER_FAILOVER_MS if unready else None
-        refuse(tables, key, request, fault, retry_after_ms, now)
+        refuse(tables, key, request, refusal, retry_after_ms, now)
         return None
-    row = new_row(tables, key, request, now)
+    row = new_request_row(tables, key, request, now)
     group = tables.groups[row.group]
-    line = choose_line(tables, row, now)
-    refusal = _bound_refusal(tables, group, row, line)
+    queue_kind = choose_queue(tables, row, now)
+    refusal = _queue_refusal(tables, group, row, queue_kind)
     if refusal is not None:
-        wait_s = _expected_wait_s(tables, group, row, line)
+        wait_s = _expected_wait_s(tables, group, row, queue_kind)
         refuse(tables, key, request, refusal, jittered(tables, wait_s * 1000), now)
         return None
-    take_in(tables, row)
-    group.queue.lines[line].push(request.business, key)
+    insert_request(tables, row)
+    group.queues.by_kind[queue_kind].push(request.business, key)
     return row
 
 
-def new_row(tables: Tables, key: int, request: Request, now: float) -> RequestRow:
-    """Return a row for ``request`` with its configuration's rules."""
+def new_request_row(tables: Tables, key: int, request: Request, now: float) -> RequestRow:
+    """Return a row for ``request`` with the rules of the configuration in force."""
     pool = tables.configuration.pools[request.pool]
     age = allowed_age_s(request, pool)
     row = RequestRow(
@@ -87,42 +87,49 @@
     )
     row.to_primary = row.is_booking or age is None
     if age is None and not row.is_booking:
-        row.note(ReasonKind.LATEST_WANTED, "the read accepts no age, so the primary answers")
+        row.add_step(ReasonKind.LATEST_WANTED, "the read accepts no age, so the primary answers")
     return row
 
 
-def take_in(tables: Tables, row: RequestRow) -> None:
-    """Enter ``row`` in the tables."""
+def insert_request(tables: Tables, row: RequestRow) -> None:
+    """Add ``row`` to the tables."""
     tables.requests[row.key] = row
     heapq.heappush(tables.deadlines, (row.deadline_at, row.key))
 
 
-def _bound_refusal(tables: Tables, group: GroupRow, row: RequestRow, line: Line) -> Reason | None:
+def _queue_refusal(
+    tables: Tables, group: GroupRow, row: RequestRow, queue_kind: QueueKind
+) -> Reason | None:
     rule = tables.configuration.pools[row.request.pool].queue_rule
-    queue = group.queue.lines[line]
+    queue = group.queues.by_kind[queue_kind]
     bound = rule.bookings if row.is_booking else rule.lookups
     if len(queue) >= bound:
-        detail = f"{len(queue)} requests wait, {bound} may; come back after retry_after_ms"
+        detail = f"{len(queue)} requests wait, at most {bound} may; retry after retry_after_ms"
         return Reason(ReasonKind.QUEUE_FULL, detail)
-    own = queue.waiting(row.request.business)
-    own_bound = max(1, int(bound * rule.business_share))
-    if own >= own_bound:
-        detail = f"{own} of this business wait, {own_bound} may; come back after retry_after_ms"
+    business_waiting = queue.count_of(row.request.business)
+    business_bound = max(1, int(bound * rule.business_share))
+    if business_waiting >= business_bound:
+        detail = (
+            f"{business_waiting} requests of this business wait, at most {business_bound} may; "
+            "retry after retry_after_ms"
+        )
         return Reason(ReasonKind.BUSINESS_QUEUE_FULL, detail)
-    wait_s = _expected_wait_s(tables, group, row, line)
+    wait_s = _expected_wait_s(tables, group, row, queue_kind)
     if len(queue) and wait_s > DEADLINE_FRACTION * (row.deadline_at - row.arrived_at):
         detail = (
             f"about {wait_s * 1000:.0f} ms are needed, the deadline is "
-            f"{row.request.deadline_ms} ms; come back after retry_after_ms"
+            f"{row.request.deadline_ms} ms; retry after retry_after_ms"
         )
         return Reason(ReasonKind.DEADLINE_OUT_OF_REACH, detail)
     return None
 
 
-def _expected_wait_s(tables: Tables, group: GroupRow, row: RequestRow, line: Line) -> float:
-    """Return the time until an answer, from what waits ahead and what servers take lately."""
-    ahead = group.queue.ahead(line, row.request.business)
-    if line is Line.REPLICA_LOOKUP:
+def _expected_wait_s(
+    tables: Tables, group: GroupRow, row: RequestRow, queue_kind: QueueKind
+) -> float:
+    """Return the estimated time until an answer, from queue length and recent service times."""
+    ahead = group.queues.count_ahead(queue_kind, row.request.business)
+    if queue_kind is QueueKind.REPLICA_LOOKUP:
         servers = replicas_of(tables, group)
     else:
         servers = [tables.servers[group.primary or group.servers[0]]]
@@ -130,14 +137,16 @@
     running_s = max(_longest_running_s(tables, server, row.arrived_at) for server in servers)
     service_s = max(running_s, *(server.service_s for server in servers))
     likely_s = max(running_s, *(server.likely_service_s for server in servers))
-    interval_s = max(service_s / (share * len(servers)), group.queue.drains[line].interval_s)
+    interval_s = max(
+        service_s / (share * len(servers)), group.queues.service_intervals[queue_kind].interval_s
+    )
     return ahead * interval_s + likely_s
 
 
 def _longest_running_s(tables: Tables, server: ServerRow, now: float) -> float:
     """Return how long the oldest statement on ``server`` has run, in seconds.
 
-    It tells of a server that has become slow before any answer does.
+    It reveals a server that has become slow before any of its answers does.
     """
     longest_s = 0.0
     for number in server.connections:
--- a/wharftiller/core/answers.py
+++ b/wharftiller/core/answers.py
@@ -1,4 +1,4 @@
-"""Final answers: build them, record the decision, send them at once."""
+"""Build final answers, record their decisions and send them."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 RETRY_AFTER_FAILOVER_MS = 500
 RETRY_AFTER_UNKNOWN_MS = 300
-TOKENS_PER_SUCCESS = 0.1
+RETRY_TOKENS_PER_SUCCESS = 0.1
 MAX_RETRY_TOKENS = 10.0
 
 
 def jittered(tables: Tables, milliseconds: float) -> int:
-    """Return ``milliseconds`` spread by a fifth either way, at least 1."""
+    """Return ``milliseconds`` with a random jitter of up to 20% either way, at least 1."""
     return max(1, round(milliseconds * tables.random.uniform(0.8, 1.2)))
 
 
@@ -32,7 +32,7 @@
     retry_after_ms: int | None,
     now: float,
 ) -> None:
-    """Answer a request that never entered a queue: it did not run."""
+    """Answer ``NOT_RUN`` to a request that was not admitted."""
     answer = Answer(
         Outcome.NOT_RUN,
         reason,
@@ -42,18 +42,18 @@
         generation=tables.configuration.generation,
         steps=(reason,),
     )
-    _give(tables, key, request, answer, now, 0.0)
+    _emit_answer(tables, key, request, answer, now, 0.0)
 
 
 def finish_not_run(
     tables: Tables, row: RequestRow, reason: Reason, retry_after_ms: int | None, now: float
 ) -> None:
-    """Answer that the request truly did not run."""
+    """Answer ``NOT_RUN``: the request certainly did not run."""
     _finish(tables, row, Outcome.NOT_RUN, reason, now, retry_after_ms=retry_after_ms)
 
 
 def finish_unknown(tables: Tables, row: RequestRow, reason: Reason, now: float) -> None:
-    """Answer that nobody can yet say; asking again with the same id resolves it."""
+    """Answer ``UNKNOWN``: a retry with the same request id returns the outcome."""
     retry_after_ms = jittered(tables, RETRY_AFTER_UNKNOWN_MS)
     _finish(tables, row, Outcome.UNKNOWN, reason, now, retry_after_ms=retry_after_ms)
 
@@ -67,23 +67,23 @@
     provisional: bool = False,
     transaction: str | None = None,
 ) -> None:
-    """Answer with a result.
+    """Answer ``DONE`` with a result.
 
     Parameters
     ----------
     provisional : bool
-        True inside a transaction, whose commit alone makes the session advance.
+        True inside a transaction: only its commit advances the session.
     """
     report = answer.report
     by_primary = report.role is Role.PRIMARY
     position = None if provisional else answer_position(answer)
     kind = ReasonKind.COVERED if row.is_booking else ReasonKind.CONFIRMED
     detail = f"{report.endpoint} at {LogPosition(report.log_term, answer.position)}"
-    reason = row.note(kind, detail, report.endpoint)
+    reason = row.add_step(kind, detail, report.endpoint)
     session = row.request.session
     if position is not None:
         session = session.advanced(row.group, position)
-    tables.retry_tokens = min(MAX_RETRY_TOKENS, tables.retry_tokens + TOKENS_PER_SUCCESS)
+    tables.retry_tokens = min(MAX_RETRY_TOKENS, tables.retry_tokens + RETRY_TOKENS_PER_SUCCESS)
     if not row.is_booking:
         _count_read(tables, row, by_primary)
     _finish(
@@ -109,7 +109,7 @@
 def _finish(
     tables: Tables, row: RequestRow, outcome: Outcome, reason: Reason, now: float, **fields: Any
 ) -> None:
-    row.note(reason.kind, reason.detail, reason.endpoint)
+    row.add_step(reason.kind, reason.detail, reason.endpoint)
     tables.requests.pop(row.key, None)
     tables.groups[row.group].checking.discard(row.key)
     fields.setdefault("session", row.request.session)
@@ -121,10 +121,10 @@
         steps=tuple(row.steps),
         **fields,
     )
-    _give(tables, row.key, row.request, answer, now, now - row.arrived_at)
+    _emit_answer(tables, row.key, row.request, answer, now, now - row.arrived_at)
 
 
-def _give(
+def _emit_answer(
     tables: Tables, key: int, request: Request, answer: Answer, now: float, took_s: float
 ) -> None:
     tables.count(f"answers.{answer.outcome.value}")
--- a/wharftiller/core/dispatch.py
+++ b/wharftiller/core/dispatch.py
@@ -1,4 +1,4 @@
-"""Put waiting requests on connections, and open connections within the box's share."""
+"""Send queued requests on connections, opened within the box's connection share."""
 
 from __future__ import annotations
 
@@ -6,53 +6,53 @@
 
 from wharftiller.core import answers
 from wharftiller.core.messages import CloseConnection, OpenConnection, SendStatement
-from wharftiller.core.queueing import Line
+from wharftiller.core.queueing import QueueKind
 from wharftiller.core.reasons import Reason, ReasonKind
-from wharftiller.core.reports import want_report
-from wharftiller.core.routing import replica_objection, replicas_of
+from wharftiller.core.reports import request_report
+from wharftiller.core.routing import replica_exclusion, replicas_of
 from wharftiller.core.shares import connection_share
 from wharftiller.core.tables import ConnectionRow, ConnectionState, Phase
 
 if TYPE_CHECKING:
     from wharftiller.core.tables import GroupRow, RequestRow, ServerRow, Tables
 
-MINIMUM_SEND_MS = 1
+MIN_STATEMENT_DEADLINE_MS = 1
 
 
 def dispatch(tables: Tables, group: GroupRow, now: float) -> None:
-    """Send what can be sent for ``group`` and open the connections that are missed."""
+    """Send the requests of ``group`` that can be sent and open missing connections."""
     _dispatch_replicas(tables, group, now)
     _dispatch_primary(tables, group, now)
 
 
 def _dispatch_replicas(tables: Tables, group: GroupRow, now: float) -> None:
-    line = group.queue.lines[Line.REPLICA_LOOKUP]
-    if not line:
+    queue = group.queues.by_kind[QueueKind.REPLICA_LOOKUP]
+    if not queue:
         return
     servers = _least_loaded_first(tables, replicas_of(tables, group))
     for server in servers:
-        if not line:
+        if not queue:
             return
 
-        def fits(key: int, server: ServerRow = server) -> bool:
-            return replica_objection(tables, server, tables.requests[key], now) is None
+        def is_eligible(key: int, server: ServerRow = server) -> bool:
+            return replica_exclusion(tables, server, tables.requests[key], now) is None
 
         while (connection := _idle_connection(tables, server)) is not None:
-            key = line.pop(fits)
+            key = queue.pop(is_eligible)
             if key is None:
                 break
-            group.queue.drains[Line.REPLICA_LOOKUP].take(now, len(line))
-            _send_or_give_up(tables, tables.requests[key], server, connection, 0, now)
-        if line and any(fits(key) for key in line.items()[:8]):
-            _open_missing(tables, server, len(line), now)
+            group.queues.service_intervals[QueueKind.REPLICA_LOOKUP].record_served(now, len(queue))
+            _send_or_refuse(tables, tables.requests[key], server, connection, 0, now)
+        if queue and any(is_eligible(key) for key in queue.items()[:8]):
+            _open_connections(tables, server, len(queue), now)
 
 
 def _least_loaded_first(tables: Tables, servers: list[ServerRow]) -> list[ServerRow]:
-    """Return ``servers`` by how many of this box's statements they run, ties at random."""
-    return sorted(servers, key=lambda server: (_busy(tables, server), tables.random.random()))
+    """Return ``servers`` by the number of this box's running statements, ties at random."""
+    return sorted(servers, key=lambda server: (_count_busy(tables, server), tables.random.random()))
 
 
-def _busy(tables: Tables, server: ServerRow) -> int:
+def _count_busy(tables: Tables, server: ServerRow) -> int:
     return _count_in_state(tables, server, ConnectionState.BUSY)
 
 
@@ -66,44 +66,44 @@
     if server is None or now < group.hold_until:
         return
     if server.is_quiescing:
-        want_report(tables, server, now)
-    lines = group.queue.lines
+        request_report(tables, server, now)
+    queues = group.queues.by_kind
     while True:
-        line = _next_primary_line(tables, group, server)
-        if line is None:
+        queue_kind = _next_primary_queue(tables, group, server)
+        if queue_kind is None:
             return
         connection = _idle_connection(tables, server)
         if connection is None:
-            waiting = sum(len(lines[each]) for each in _PRIMARY_LINES)
-            _open_missing(tables, server, waiting, now)
+            waiting = sum(len(queues[each]) for each in _PRIMARY_QUEUES)
+            _open_connections(tables, server, waiting, now)
             return
-        key = lines[line].pop()
+        key = queues[queue_kind].pop()
         assert key is not None
-        group.queue.drains[line].take(now, len(lines[line]))
-        _send_or_give_up(tables, tables.requests[key], server, connection, group.term, now)
+        group.queues.service_intervals[queue_kind].record_served(now, len(queues[queue_kind]))
+        _send_or_refuse(tables, tables.requests[key], server, connection, group.term, now)
 
 
-_PRIMARY_LINES = (Line.SETTLING, Line.BOOKING, Line.PRIMARY_LOOKUP)
+_PRIMARY_QUEUES = (QueueKind.SETTLING, QueueKind.BOOKING, QueueKind.PRIMARY_LOOKUP)
 
 
-def _next_primary_line(tables: Tables, group: GroupRow, server: ServerRow) -> Line | None:
-    for line in _PRIMARY_LINES:
-        if not group.queue.lines[line]:
+def _next_primary_queue(tables: Tables, group: GroupRow, server: ServerRow) -> QueueKind | None:
+    for queue_kind in _PRIMARY_QUEUES:
+        if not group.queues.by_kind[queue_kind]:
             continue
-        if line is not Line.PRIMARY_LOOKUP and server.is_quiescing:
+        if queue_kind is not QueueKind.PRIMARY_LOOKUP and server.is_quiescing:
             continue
-        if line is Line.PRIMARY_LOOKUP and not _lookup_may_use(tables, group, server):
+        if queue_kind is QueueKind.PRIMARY_LOOKUP and not _may_run_lookup(tables, group, server):
             return None
-        return line
+        return queue_kind
     return None
 
 
-def _lookup_may_use(tables: Tables, group: GroupRow, server: ServerRow) -> bool:
+def _may_run_lookup(tables: Tables, group: GroupRow, server: ServerRow) -> bool:
     """Return whether one more lookup may run on the primary.
 
-    One connection is kept free of lookups, where there are two, and all boxes'
-    lookups together are kept near the primary's slots, so that a booking finds
-    few of them before it.
+    Of two or more connections, one is reserved for bookings. The lookups of all
+    boxes together are limited to about the primary's slots, so that few run
+    ahead of a booking.
     """
     spec = group.spec
     share = connection_share(tables, spec.max_connections)
@@ -118,7 +118,7 @@
 
 
 def may_pin(tables: Tables, group: GroupRow, server: ServerRow) -> bool:
-    """Return whether one more connection to ``server`` may be held by a transaction."""
+    """Return whether a transaction may pin one more connection to ``server``."""
     share = connection_share(tables, group.spec.max_connections)
     pinned = _count_in_state(tables, server, ConnectionState.PINNED)
     return pinned < max(1, share - 1)
@@ -132,7 +132,7 @@
     return None
 
 
-def _open_missing(tables: Tables, server: ServerRow, waiting: int, now: float) -> None:
+def _open_connections(tables: Tables, server: ServerRow, waiting: int, now: float) -> None:
     if now < server.retry_connect_at:
         return
     spec = tables.groups[server.group].spec
@@ -152,8 +152,8 @@
     tables.count("connections.opened")
 
 
-def forget_connection(tables: Tables, connection: ConnectionRow) -> None:
-    """Drop the row of a connection that is gone, and of the transaction it was pinned to."""
+def remove_connection(tables: Tables, connection: ConnectionRow) -> None:
+    """Remove a closed connection and the transaction that pinned it from the tables."""
     tables.connections.pop(connection.number, None)
     tables.transactions.pop(connection.transaction or "", None)
     server = tables.servers.get(connection.endpoint)
@@ -162,12 +162,12 @@
 
 
 def close_connection(tables: Tables, connection: ConnectionRow) -> None:
-    """Close a connection at once; an answer owed on it is never delivered."""
-    forget_connection(tables, connection)
+    """Close a connection at once; an answer outstanding on it is discarded."""
+    remove_connection(tables, connection)
     tables.emit(CloseConnection(connection.number))
 
 
-def _send_or_give_up(
+def _send_or_refuse(
     tables: Tables,
     row: RequestRow,
     server: ServerRow,
@@ -175,15 +175,15 @@
     term: int,
     now: float,
 ) -> None:
-    """Send ``row`` unless it has waited and can no longer be answered in time."""
+    """Send ``row``, or refuse it if it waited and can no longer meet its deadline."""
     left_s = row.deadline_at - now
     waited = now > row.arrived_at
-    if not waited or row.uncertain or left_s >= server.likely_service_s:
+    if not waited or row.may_have_run or left_s >= server.likely_service_s:
         _send(tables, row, server, connection, term, now)
         return
     detail = (
         f"{left_s * 1000:.0f} ms are left, {server.name} takes about "
-        f"{server.likely_service_s * 1000:.0f} ms; come back after retry_after_ms"
+        f"{server.likely_service_s * 1000:.0f} ms; retry after retry_after_ms"
     )
     reason = Reason(ReasonKind.DEADLINE_OUT_OF_REACH, detail, server.name)
     retry_after_ms = answers.jittered(tables, server.likely_service_s * 1000)
@@ -201,15 +201,15 @@
     connection.state = ConnectionState.BUSY
     send_on(tables, row, connection, term, now)
     if row.allowed_age_s is not None:
-        _want_fresh_point(tables, row, now)
+        _request_fresh_point(tables, row, now)
     elif not row.is_booking:
-        _want_confirmation(tables, row, server, now)
+        _request_confirmation(tables, row, server, now)
 
 
 def send_on(
     tables: Tables, row: RequestRow, connection: ConnectionRow, term: int, now: float
 ) -> None:
-    """Send ``row`` on ``connection`` and wait for the answer."""
+    """Send the statement of ``row`` on ``connection``."""
     connection.request = row.key
     row.phase = Phase.SENT
     row.connection = connection.number
@@ -218,8 +218,8 @@
     row.sent_term = term
     row.answer = None
     kind = ReasonKind.PRIMARY_CHOSEN if term else ReasonKind.REPLICA_CHOSEN
-    row.note(kind, f"sent to {connection.endpoint}, term {term}", connection.endpoint)
-    deadline_ms = max(MINIMUM_SEND_MS, round((row.deadline_at - now) * 1000))
+    row.add_step(kind, f"sent to {connection.endpoint}, term {term}", connection.endpoint)
+    deadline_ms = max(MIN_STATEMENT_DEADLINE_MS, round((row.deadline_at - now) * 1000))
     tables.emit(
         SendStatement(
             connection.number,
@@ -233,26 +233,26 @@
     )
 
 
-def _want_fresh_point(tables: Tables, row: RequestRow, now: float) -> None:
-    """Have a fresh point ready by the time a replica's answer comes."""
+def _request_fresh_point(tables: Tables, row: RequestRow, now: float) -> None:
+    """Request reports, so that a recent fresh point is known when the answer arrives."""
     assert row.allowed_age_s is not None
     group = tables.groups[row.group]
-    newest = group.fresh.newest
+    newest = group.fresh_points.newest
     if newest is not None and now - newest.at <= row.allowed_age_s / 2:
         return
     for name in group.servers:
-        want_report(tables, tables.servers[name], now)
+        request_report(tables, tables.servers[name], now)
 
 
-def _want_confirmation(tables: Tables, row: RequestRow, server: ServerRow, now: float) -> None:
+def _request_confirmation(tables: Tables, row: RequestRow, server: ServerRow, now: float) -> None:
     group = tables.groups[row.group]
     for name in group.servers:
         if name != server.name:
-            want_report(tables, tables.servers[name], now)
+            request_report(tables, tables.servers[name], now)
 
 
 def trim_connections(tables: Tables, now: float) -> None:
-    """Close idle connections beyond the box's share, and those to leaving servers."""
+    """Close idle connections beyond the box's share and idle ones to leaving replicas."""
     for server in tables.servers.values():
         spec = tables.groups[server.group].spec
         share = connection_share(tables, spec.max_connections)
--- a/wharftiller/core/errors.py
+++ b/wharftiller/core/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors; each message says what was got, what would do and what to do next."""
+"""Typed errors; each message says what was received, what is expected and what to do."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     kind : str
         Stable name of the error, for programs.
     status : int
-        HTTP status under which an edge answers it.
+        HTTP status of the response.
     """
 
     kind = "error"
@@ -25,7 +25,7 @@
 
 
 class BodyTooLargeError(WharfError):
-    """A body or header block passes the size limit."""
+    """A body or header block exceeds the size limit."""
 
     kind = "body_too_large"
     status = 413
@@ -39,21 +39,21 @@
 
 
 class TokenError(WharfError):
-    """A session token is forged, foreign or damaged."""
+    """A session token is forged, damaged or of another business."""
 
     kind = "bad_token"
     status = 403
 
 
 class UnknownPathError(WharfError):
-    """No such path or method."""
+    """A path or method does not exist."""
 
     kind = "unknown_path"
     status = 404
 
 
 class ConfigurationError(WharfError):
-    """A configuration breaks one of its rules."""
+    """A configuration violates one of its rules."""
 
     kind = "bad_configuration"
     status = 422
@@ -67,7 +67,7 @@
 
 
 class StalePlanError(WharfError):
-    """Another change overtook the plan."""
+    """The configuration changed after the plan was made."""
 
     kind = "stale_plan"
     status = 409
@@ -81,29 +81,30 @@
 
 
 class PlatformUnavailableError(WharfError):
-    """The platform did not answer, or refused for its rate limit."""
+    """The platform did not answer, or refused because of its rate limit."""
 
     kind = "platform_unavailable"
     status = 503
 
 
 class ExchangeError(WharfError):
-    """A peer closed the connection, timed out or answered nonsense."""
+    """A peer closed the connection, timed out or sent an invalid response."""
 
     kind = "exchange_failed"
     status = 502
 
 
 class EndpointRefusedError(WharfError):
-    """An endpoint answered but did not take a connection.
+    """An endpoint answered but did not accept a connection.
 
     Attributes
     ----------
     at_limit : bool
-        Whether it has too many connections; otherwise it is another endpoint
-        than the one expected at its address.
+        Whether it is at its connection limit; otherwise a different endpoint
+        answered at the address.
     queue_s : float or None
-        How long those ahead take, in seconds, where its connections are held and in use.
+        Expected wait for one of the connections that the box holds, all in use, in
+        seconds; None if it holds none.
     """
 
     kind = "endpoint_refused"
--- a/wharftiller/core/freshness.py
+++ b/wharftiller/core/freshness.py
@@ -1,9 +1,9 @@
-"""How old a replica's data is, told by this box's own clock only.
+"""The age of a replica's data, measured by this box's own clock only.
 
-A primary's report, with another server's promise of the same term, proves that
-at the time both were asked no later term had acknowledged anything and that the
-group's safe data ended at or before the primary's position. A log that reaches
-that position is therefore no older than that time.
+A primary's report, together with another server's promise of the same term,
+proves that when both were requested no later term had acknowledged a write and
+the group's safe data ended at or before the primary's position. A log that
+reaches that position is therefore complete as of that time.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 from wharftiller.core.positions import LogPosition
 
-POINTS_KEPT = 256
+MAX_POINTS = 256
 
 
 @attrs.frozen
 class FreshPoint:
-    """At ``at`` (seconds) the group's data ended at ``position`` or before."""
+    """At time ``at`` (seconds) the group's data ended at or before ``position``."""
 
     at: float
     position: LogPosition
@@ -28,10 +28,10 @@
 
 @attrs.define
 class FreshPoints:
-    """The points learned of one group, oldest first."""
+    """The known points of one group, oldest first."""
 
     _points: collections.deque[FreshPoint] = attrs.field(
-        factory=lambda: collections.deque(maxlen=POINTS_KEPT)
+        factory=lambda: collections.deque(maxlen=MAX_POINTS)
     )
 
     @property
@@ -40,7 +40,7 @@
         return self._points[-1] if self._points else None
 
     def add(self, point: FreshPoint) -> None:
-        """Take in a point, keeping only one per position while nothing is written."""
+        """Add a point, replacing the newest one if its position is the same."""
         newest = self.newest
         if newest is not None:
             if point.at <= newest.at or point.position < newest.position:
@@ -63,7 +63,7 @@
         return -math.inf
 
     def earliest_since(self, since: float) -> LogPosition | None:
-        """Return the least position that holds everything acknowledged before ``since``.
+        """Return the smallest position that includes everything acknowledged before ``since``.
 
         Parameters
         ----------
@@ -73,7 +73,7 @@
         Returns
         -------
         LogPosition or None
-            None if no point is as new as that.
+            None if every point is older than ``since``.
         """
         for point in self._points:
             if point.at >= since:
--- a/wharftiller/core/messages.py
+++ b/wharftiller/core/messages.py
@@ -1,4 +1,4 @@
-"""What the proxy's core is told (inputs) and what it asks to be done (outputs)."""
+"""Inputs and outputs of the proxy's core, and the messages within them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Action(enum.Enum):
-    """What a caller asks for, and what a box asks of an endpoint."""
+    """What a caller requests of a box, or a box of an endpoint."""
 
     READ = "read"
     WRITE = "write"
@@ -25,7 +25,7 @@
 
 
 class Outcome(enum.Enum):
-    """The one outcome of an answer."""
+    """Outcome of a request."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -34,20 +34,20 @@
 
 @attrs.frozen
 class Request:
-    """A caller's statement, authenticated.
+    """An authenticated statement of a caller.
 
     Attributes
     ----------
     request_id : str
-        The caller's, unique within the business.
+        Chosen by the caller, unique within the business.
     repeatable : bool
-        Whether running it twice does no harm.
+        Whether running it twice is harmless.
     max_age_ms : int or None
-        Age of data a read accepts; None means the pool's rule.
+        Maximum age of data that a read accepts; None means the pool's rule.
     latest : bool
-        True when the caller insists on the latest data.
+        True when the caller requires the latest data.
     deadline_ms : int
-        Time the caller gives it, from arrival.
+        Time from arrival to the answer, at most.
     """
 
     request_id: str
@@ -65,12 +65,12 @@
 
 @attrs.frozen
 class Answer:
-    """A caller's final answer.
+    """The final answer to a caller.
 
     Attributes
     ----------
     retry_after_ms : int or None
-        When to come back, where coming back helps.
+        Time after which to retry, where a retry helps.
     position : LogPosition or None
         Safe position of the data read or written.
     """
@@ -89,7 +89,7 @@
 
 
 class Role(enum.Enum):
-    """What a server takes itself for."""
+    """Role that a server reports."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class Report:
-    """What a server says of itself.
+    """State that a server reports.
 
     Attributes
     ----------
@@ -110,9 +110,9 @@
     opened : int
         Index of the record that opened ``log_term``.
     quiescing : bool
-        Whether it refuses writes because another is about to lead.
+        Whether it refuses writes ahead of a planned failover.
     primary_silent_ms : int
-        Time since it last heard from the primary it follows, in milliseconds.
+        Time since its last contact with the primary it follows, in milliseconds.
     """
 
     endpoint: str
@@ -133,12 +133,12 @@
 
     @property
     def settled(self) -> bool:
-        """Whether the promised term and the log term are one."""
+        """Whether the promised term equals the log term."""
         return self.promised == self.log_term
 
 
 class Verdict(enum.Enum):
-    """What an endpoint says became of a statement."""
+    """Result of a statement as the endpoint reports it."""
 
     RAN = "ran"
     RECORDED = "recorded"
@@ -197,7 +197,7 @@
 
 @attrs.frozen
 class ConnectionLost:
-    """A connection broke; an answer owed on it will not come."""
+    """A connection was lost, and with it any outstanding answer."""
 
     connection: int
 
@@ -211,7 +211,7 @@
 
 
 class Lane(enum.Enum):
-    """Which control connection carries a report: at once, or waiting for a position."""
+    """Control connection of a report: sent at once, or once a position is reached."""
 
     NOW = "now"
     COVER = "cover"
@@ -219,7 +219,7 @@
 
 @attrs.frozen
 class ReportArrived:
-    """A server reported; ``sent_at`` is when the question left, in seconds."""
+    """A server reported; ``sent_at`` is when the request was sent, in seconds."""
 
     endpoint: str
     lane: Lane
@@ -238,7 +238,7 @@
 
 @attrs.frozen
 class ConfigurationArrived:
-    """A configuration came from the steward or a peer."""
+    """A configuration arrived from the steward or a peer."""
 
     configuration: Configuration
 
@@ -253,7 +253,7 @@
 
 @attrs.frozen
 class PrimaryNoticed:
-    """A steward says who leads a group; a hint that saves a poll."""
+    """A steward announced the primary of a group, ahead of the next report."""
 
     group: str
     term: int
@@ -262,7 +262,7 @@
 
 @attrs.frozen
 class StopAsked:
-    """The box is to stop: refuse new requests, finish those it has."""
+    """The box is stopping: refuse new requests, finish the admitted ones."""
 
 
 @attrs.frozen
@@ -311,7 +311,7 @@
     Attributes
     ----------
     term : int
-        Term in which a primary may run it; 0 lets a replica run a read.
+        Term in which a primary may run it; 0 for a read on a replica.
     """
 
     connection: int
@@ -325,12 +325,12 @@
 
 @attrs.frozen
 class SendReport:
-    """Ask a server for a report.
+    """Request a report from a server.
 
     Attributes
     ----------
     wait_position : int
-        With ``wait_ms``, the server may wait until its log is this long.
+        The server may delay the report up to ``wait_ms`` until its log has this index.
     """
 
     endpoint: str
@@ -342,7 +342,7 @@
 
 @attrs.frozen
 class AnswerCaller:
-    """Give a caller its final answer."""
+    """Send a caller its final answer."""
 
     key: int
     answer: Answer
--- a/wharftiller/core/queueing.py
+++ b/wharftiller/core/queueing.py
@@ -11,12 +11,12 @@
 
 Item = TypeVar("Item")
 
-HEADS_SCANNED = 32
-INTERVAL_WEIGHT = 0.05
+MAX_HEADS_SCANNED = 32
+SERVICE_INTERVAL_WEIGHT = 0.05
 
 
-class Line(enum.Enum):
-    """The lines of a group's queue, in the order in which a primary serves them."""
+class QueueKind(enum.Enum):
+    """The queues of a group, in the order in which a primary serves them."""
 
     SETTLING = "settling"
     BOOKING = "booking"
@@ -26,9 +26,9 @@
 
 @attrs.define
 class FairQueue(Generic[Item]):
-    """First in, first out within a business; businesses take turns."""
+    """A queue that is FIFO within a business and round-robin between businesses."""
 
-    _lines: collections.OrderedDict[str, collections.deque[Item]] = attrs.field(
+    _by_business: collections.OrderedDict[str, collections.deque[Item]] = attrs.field(
         factory=collections.OrderedDict
     )
     _length: int = 0
@@ -37,91 +37,97 @@
         return self._length
 
     @property
-    def businesses(self) -> int:
-        """Number of businesses that wait."""
-        return len(self._lines)
+    def business_count(self) -> int:
+        """Number of businesses with waiting items."""
+        return len(self._by_business)
 
-    def waiting(self, business: str) -> int:
-        """Return how many requests of ``business`` wait."""
-        line = self._lines.get(business)
-        return len(line) if line else 0
+    def count_of(self, business: str) -> int:
+        """Return the number of waiting items of ``business``."""
+        items = self._by_business.get(business)
+        return len(items) if items else 0
 
     def push(self, business: str, item: Item) -> None:
-        """Add ``item`` at the end of its business's line."""
-        self._lines.setdefault(business, collections.deque()).append(item)
+        """Append ``item`` to the queue of its business."""
+        self._by_business.setdefault(business, collections.deque()).append(item)
         self._length += 1
 
-    def pop(self, fits: Callable[[Item], bool] | None = None) -> Item | None:
-        """Take the next item of the first business whose head fits."""
-        for business in list(self._lines)[:HEADS_SCANNED]:
-            line = self._lines[business]
-            if fits is not None and not fits(line[0]):
+    def pop(self, is_eligible: Callable[[Item], bool] | None = None) -> Item | None:
+        """Remove and return the head of the first business whose head is eligible."""
+        for business in list(self._by_business)[:MAX_HEADS_SCANNED]:
+            items = self._by_business[business]
+            if is_eligible is not None and not is_eligible(items[0]):
                 continue
-            item = line.popleft()
+            item = items.popleft()
             self._length -= 1
-            if line:
-                self._lines.move_to_end(business)
+            if items:
+                self._by_business.move_to_end(business)
             else:
-                del self._lines[business]
+                del self._by_business[business]
             return item
         return None
 
     def remove(self, business: str, item: Item) -> bool:
-        """Take ``item`` out wherever it stands; False if it is not there."""
-        line = self._lines.get(business)
-        if line is None or item not in line:
+        """Remove ``item`` from any place in the queue; return False if it is absent."""
+        items = self._by_business.get(business)
+        if items is None or item not in items:
             return False
-        line.remove(item)
+        items.remove(item)
         self._length -= 1
-        if not line:
-            del self._lines[business]
+        if not items:
+            del self._by_business[business]
         return True
 
     def items(self) -> list[Item]:
-        """Return every waiting item."""
-        return [item for line in self._lines.values() for item in line]
+        """Return all waiting items."""
+        return [item for items in self._by_business.values() for item in items]
 
 
 @attrs.define
-class Drain:
-    """How fast a line is served while requests wait in it.
+class ServiceInterval:
+    """The time between two requests served from a queue while requests wait in it.
 
     Attributes
     ----------
     interval_s : float
-        Smoothed time between two requests taken, in seconds.
+        Exponentially smoothed interval, in seconds.
     """
 
     interval_s: float = 0.0
-    _taken_at: float = 0.0
-    _waiting: bool = False
+    _served_at: float = 0.0
+    _has_waiting: bool = False
 
-    def take(self, now: float, left: int) -> None:
-        """Note that a request was taken at ``now`` (seconds) and ``left`` still wait."""
-        if self._waiting:
-            self.interval_s += INTERVAL_WEIGHT * (now - self._taken_at - self.interval_s)
-        self._taken_at = now
-        self._waiting = left > 0
+    def record_served(self, now: float, left: int) -> None:
+        """Record that a request was served at ``now`` (seconds) and ``left`` still wait."""
+        if self._has_waiting:
+            self.interval_s += SERVICE_INTERVAL_WEIGHT * (now - self._served_at - self.interval_s)
+        self._served_at = now
+        self._has_waiting = left > 0
 
 
 @attrs.define
 class GroupQueues(Generic[Item]):
-    """The lines of one group, and how fast each is served."""
+    """The queues of one group, with the service interval of each."""
 
-    lines: dict[Line, FairQueue[Item]] = attrs.field(
-        factory=lambda: {line: FairQueue() for line in Line}
+    by_kind: dict[QueueKind, FairQueue[Item]] = attrs.field(
+        factory=lambda: {kind: FairQueue() for kind in QueueKind}
+    )
+    service_intervals: dict[QueueKind, ServiceInterval] = attrs.field(
+        factory=lambda: {kind: ServiceInterval() for kind in QueueKind}
     )
-    drains: dict[Line, Drain] = attrs.field(factory=lambda: {line: Drain() for line in Line})
 
-    def ahead(self, line: Line, business: str) -> int:
-        """Return how many requests go before a new one of ``business`` in ``line``."""
-        queue = self.lines[line]
-        turns = queue.waiting(business) * max(queue.businesses, 1) + queue.businesses
+    def count_ahead(self, kind: QueueKind, business: str) -> int:
+        """Return how many requests are served before a new one of ``business``."""
+        queue = self.by_kind[kind]
+        turns = queue.count_of(business) * max(queue.business_count, 1) + queue.business_count
         ahead = min(len(queue), turns)
-        match line:
-            case Line.PRIMARY_LOOKUP:
-                return ahead + len(self.lines[Line.BOOKING]) + len(self.lines[Line.SETTLING])
-            case Line.BOOKING:
-                return ahead + len(self.lines[Line.SETTLING])
+        match kind:
+            case QueueKind.PRIMARY_LOOKUP:
+                return (
+                    ahead
+                    + len(self.by_kind[QueueKind.BOOKING])
+                    + len(self.by_kind[QueueKind.SETTLING])
+                )
+            case QueueKind.BOOKING:
+                return ahead + len(self.by_kind[QueueKind.SETTLING])
             case _:
                 return ahead
--- a/wharftiller/core/reasons.py
+++ b/wharftiller/core/reasons.py
@@ -1,4 +1,4 @@
-"""Why a decision was made: enumerated kinds and the figures that were compared."""
+"""Reasons of decisions: enumerated kinds with the values that were compared."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ReasonKind(enum.Enum):
-    """Every reason this system gives."""
+    """Kind of a reason."""
 
     # Routing
     REPLICA_CHOSEN = "replica_chosen"
@@ -62,9 +62,9 @@
     ----------
     kind : ReasonKind
     detail : str
-        One sentence with the figures compared and, for a refusal, the remedy.
+        One sentence with the values compared and, for a refusal, the remedy.
     endpoint : str or None
-        The endpoint it speaks of.
+        The endpoint concerned.
     """
 
     kind: ReasonKind
@@ -74,7 +74,7 @@
 
 @attrs.frozen
 class Decision:
-    """A finished request with every step that led to its answer.
+    """A finished request with the steps that led to its answer.
 
     Attributes
     ----------
--- a/wharftiller/core/replication.py
+++ b/wharftiller/core/replication.py
@@ -1,7 +1,7 @@
-"""Whether an answer may be given: writes covered, reads confirmed.
+"""Check whether an answer is safe: writes replicated, reads confirmed.
 
 A write is safe when a second server, whose promised term and log term are both
-the write's term, reports a position that covers it (docs/design/acknowledgement.md).
+the write's term, reports a position at or past it (docs/design/acknowledgement.md).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class AnswerCheck(enum.Enum):
-    """What is known of an answer."""
+    """Result of checking an answer."""
 
     GOOD = "good"
     WAIT = "wait"
@@ -30,12 +30,12 @@
 def is_replicated(
     tables: Tables, group: GroupRow, by: str, target: LogPosition, since: float = -math.inf
 ) -> bool:
-    """Return whether a server other than ``by`` has reported ``target`` as kept.
+    """Return whether a server other than ``by`` reported that it holds ``target``.
 
     Parameters
     ----------
     since : float
-        Only reports asked for at or after this time count, in seconds.
+        Only reports requested at or after this time count, in seconds.
     """
     for name in group.servers:
         server = tables.servers[name]
@@ -48,11 +48,11 @@
 
 
 def has_replicated(report: Report, target: LogPosition) -> bool:
-    """Return whether ``report`` proves that a server keeps the log up to ``target``.
+    """Return whether ``report`` proves that a server holds the log up to ``target``.
 
-    Both terms must be the target's own: a server that has promised a later term
-    may be counted for another primary, and one whose log is of an earlier term
-    may hold other records at the same positions.
+    Both terms must equal the target's: a server that promised a later term may
+    count towards another primary, and one whose log is of an earlier term may
+    hold other records at the same positions.
     """
     if report.promised != target.term or report.log_term != target.term:
         return False
@@ -60,20 +60,20 @@
 
 
 def replication_target(answer: EndpointAnswer) -> LogPosition:
-    """Return the position that must be covered before a primary's answer is given."""
+    """Return the position that must be replicated before a primary's answer is sent."""
     report = answer.report
     return safe_position(report.log_term, answer.position, report.opened)
 
 
 def answer_position(answer: EndpointAnswer) -> LogPosition:
-    """Return the position that a safe answer lets the session claim."""
+    """Return the position that the session holds after a safe answer."""
     if answer.report.role is Role.PRIMARY:
         return replication_target(answer)
     return answer.report.log_position
 
 
 def check_answer(tables: Tables, row: RequestRow, now: float) -> AnswerCheck:
-    """Return whether the answer that ``row`` holds may be given now."""
+    """Return whether the answer of ``row`` may be sent to the caller now."""
     answer = row.answer
     assert answer is not None
     group = tables.groups[row.group]
@@ -115,9 +115,9 @@
     assert allowed is not None
     position = answer.report.log_position
     oldest = now - allowed
-    if group.fresh.fresh_as_of(position) >= oldest:
+    if group.fresh_points.fresh_as_of(position) >= oldest:
         return AnswerCheck.GOOD
-    newest = group.fresh.newest
+    newest = group.fresh_points.newest
     if newest is not None and newest.at >= oldest:
         return AnswerCheck.BEHIND
     return AnswerCheck.WAIT
--- a/wharftiller/core/reports.py
+++ b/wharftiller/core/reports.py
@@ -1,4 +1,4 @@
-"""Ask servers for reports, and take in what they say of terms and positions."""
+"""Request reports from servers and apply their terms and positions."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
     from wharftiller.core.tables import GroupRow, ServerRow, Tables
 
 HEARTBEAT_S = 0.25
-"""Longest time between two reports of a server, in seconds."""
+"""Maximum time between two report requests to a server, in seconds."""
 
 REPLICATION_WAIT_MS = 50
-"""How long a server may hold a report back until its log covers a write."""
+"""Maximum delay of a report until the server's log includes a write."""
 
 REPORT_TIMEOUT_S = 0.5
-"""Time after which a report is given up, in seconds; kept by the edge."""
+"""Timeout of a report request, in seconds; applied by `wharftiller.edges.endpoints`."""
 
 
-def want_report(tables: Tables, server: ServerRow, now: float) -> None:
-    """Ask for a report that is begun at or after ``now``."""
+def request_report(tables: Tables, server: ServerRow, now: float) -> None:
+    """Request a report that is made at or after ``now``."""
     lane = server.lanes[Lane.NOW]
     if lane.sent_at is not None and lane.sent_at < now:
-        lane.wanted_since = now
+        lane.due_since = now
     elif lane.sent_at is None:
         _send(tables, server, Lane.NOW, 0, now)
 
 
 def request_replication_report(tables: Tables, server: ServerRow, index: int, now: float) -> None:
-    """Ask for a report as soon as the server's log has ``index`` records."""
+    """Request a report for when the server's log has ``index`` records."""
     lane = server.lanes[Lane.COVER]
     if lane.sent_at is None:
         _send(tables, server, Lane.COVER, index, now)
@@ -41,21 +41,21 @@
     state = server.lanes[lane]
     state.sent_at = now
     server.asked_at = now
-    state.wanted_since = None
+    state.due_since = None
     wait_ms = REPLICATION_WAIT_MS if lane is Lane.COVER else 0
     tables.emit(SendReport(server.name, server.control_address, lane, index, wait_ms))
 
 
-def lane_free(tables: Tables, server: ServerRow, lane: Lane, now: float) -> None:
-    """Note that a report has come or is given up, and ask again if one is due."""
+def release_lane(tables: Tables, server: ServerRow, lane: Lane, now: float) -> None:
+    """Mark a lane free after a report arrived or timed out; send the next if one is due."""
     state = server.lanes[lane]
     state.sent_at = None
-    if state.wanted_since is not None:
+    if state.due_since is not None:
         _send(tables, server, lane, 0, now)
 
 
 def heartbeat(tables: Tables, now: float) -> None:
-    """Ask every server for a report whose last one is ``HEARTBEAT_S`` old."""
+    """Request a report from every server last asked ``HEARTBEAT_S`` ago or earlier."""
     for server in tables.servers.values():
         state = server.lanes[Lane.NOW]
         if state.sent_at is None and now - server.asked_at >= HEARTBEAT_S:
@@ -63,18 +63,18 @@
 
 
 def apply_report(tables: Tables, server: ServerRow, report: Report, sent_at: float) -> bool:
-    """Take in a report; return True if the group has a new primary by it."""
+    """Apply a report; return True if it shows a new primary of the group."""
     server.silent_since = None
     if server.report is None or sent_at >= server.report_sent_at:
         server.report = report
         server.report_sent_at = sent_at
     group = tables.groups[server.group]
-    changed = _apply_lead(group, server, report)
+    changed = _apply_leadership(group, server, report)
     _add_fresh_point(tables, group)
     return changed
 
 
-def _apply_lead(group: GroupRow, server: ServerRow, report: Report) -> bool:
+def _apply_leadership(group: GroupRow, server: ServerRow, report: Report) -> bool:
     leads = report.role is Role.PRIMARY and report.settled
     if not leads or report.promised <= group.term:
         return False
@@ -87,8 +87,12 @@
     primary = tables.primary_of(group)
     if primary is None or primary.report is None:
         return
-    lead = primary.report
-    if lead.role is not Role.PRIMARY or not lead.settled or lead.promised != group.term:
+    primary_report = primary.report
+    if (
+        primary_report.role is not Role.PRIMARY
+        or not primary_report.settled
+        or primary_report.promised != group.term
+    ):
         return
     promised_at = [
         row.report_sent_at
@@ -100,4 +104,4 @@
     if not promised_at:
         return
     at = min(primary.report_sent_at, max(promised_at))
-    group.fresh.add(FreshPoint(at, LogPosition(group.term, lead.position)))
+    group.fresh_points.add(FreshPoint(at, LogPosition(group.term, primary_report.position)))
--- a/wharftiller/core/routing.py
+++ b/wharftiller/core/routing.py
@@ -1,12 +1,12 @@
-"""Which server may run a request, and why the others were passed over."""
+"""Choose the queue and the server of a request, with the reasons for exclusions."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from wharftiller.core.queueing import Line
+from wharftiller.core.queueing import QueueKind
 from wharftiller.core.reasons import Reason, ReasonKind
-from wharftiller.core.reports import want_report
+from wharftiller.core.reports import request_report
 from wharftiller.core.tables import Phase
 
 if TYPE_CHECKING:
@@ -15,17 +15,17 @@
     from wharftiller.core.tables import GroupRow, RequestRow, ServerRow, Tables
 
 
-def replica_objection(
+def replica_exclusion(
     tables: Tables, server: ServerRow, row: RequestRow, now: float
 ) -> Reason | None:
-    """Return why ``server`` should not be asked, or None if it may be.
+    """Return why ``server`` is excluded for ``row``, or None if it is eligible.
 
-    What is known of a replica is a hint: the answer itself is checked again
+    The last report of a replica is only a hint: its answer is checked again
     (see `wharftiller.core.replication.check_answer`).
     """
     name = server.name
     if name in row.tried:
-        return Reason(ReasonKind.REPLICA_TRIED, f"{name} was asked already", name)
+        return Reason(ReasonKind.REPLICA_TRIED, f"{name} was tried already", name)
     if server.is_leaving:
         return Reason(ReasonKind.ENDPOINT_LEAVING, f"{name} is leaving", name)
     report = server.report
@@ -38,19 +38,19 @@
     if report.log_position < needed:
         detail = f"{name} is at {report.log_position}, the session needs {needed}"
         return Reason(ReasonKind.REPLICA_BEHIND, detail, name)
-    return _age_objection(tables, server, row, now)
+    return _age_exclusion(tables, server, row, now)
 
 
-def _age_objection(tables: Tables, server: ServerRow, row: RequestRow, now: float) -> Reason | None:
+def _age_exclusion(tables: Tables, server: ServerRow, row: RequestRow, now: float) -> Reason | None:
     allowed = row.allowed_age_s
-    fresh = tables.groups[row.group].fresh
-    newest = fresh.newest
+    fresh_points = tables.groups[row.group].fresh_points
+    newest = fresh_points.newest
     report = server.report
     if allowed is None or report is None or newest is None:
         return None
     if report.log_position >= newest.position:
         return None
-    age = now - fresh.fresh_as_of(report.log_position)
+    age = now - fresh_points.fresh_as_of(report.log_position)
     if age <= allowed:
         return None
     detail = f"{server.name} is {age * 1000:.0f} ms old, {allowed * 1000:.0f} ms are allowed"
@@ -58,62 +58,62 @@
 
 
 def replicas_of(tables: Tables, group: GroupRow) -> list[ServerRow]:
-    """Return the servers of ``group`` that do not lead it."""
+    """Return the servers of ``group`` other than its primary."""
     return [tables.servers[name] for name in group.servers if name != group.primary]
 
 
-def choose_line(tables: Tables, row: RequestRow, now: float) -> Line:
-    """Return the line in which ``row`` waits, noting the reasons."""
+def choose_queue(tables: Tables, row: RequestRow, now: float) -> QueueKind:
+    """Return the queue for ``row``, recording the reasons as steps."""
     if row.settling:
-        return Line.SETTLING
+        return QueueKind.SETTLING
     if row.is_booking:
-        return Line.BOOKING
+        return QueueKind.BOOKING
     if row.to_primary:
-        return Line.PRIMARY_LOOKUP
+        return QueueKind.PRIMARY_LOOKUP
     group = tables.groups[row.group]
-    objections = [
-        objection
+    exclusions = [
+        exclusion
         for server in replicas_of(tables, group)
-        if (objection := replica_objection(tables, server, row, now)) is not None
+        if (exclusion := replica_exclusion(tables, server, row, now)) is not None
     ]
-    if len(objections) < len(replicas_of(tables, group)):
-        return Line.REPLICA_LOOKUP
-    for objection in objections:
-        row.note(objection.kind, objection.detail, objection.endpoint)
-    if _worth_waiting(objections) and now < row.replica_until:
-        row.note(ReasonKind.WAITING_FOR_REPLICA, "a replica may catch up shortly")
-        _ask_replicas_once(tables, group, row, now)
-        return Line.REPLICA_LOOKUP
+    if len(exclusions) < len(replicas_of(tables, group)):
+        return QueueKind.REPLICA_LOOKUP
+    for exclusion in exclusions:
+        row.add_step(exclusion.kind, exclusion.detail, exclusion.endpoint)
+    if _may_catch_up(exclusions) and now < row.replica_until:
+        row.add_step(ReasonKind.WAITING_FOR_REPLICA, "a replica may catch up shortly")
+        _request_replica_reports(tables, group, row, now)
+        return QueueKind.REPLICA_LOOKUP
     if not row.primary_fallback:
-        return Line.REPLICA_LOOKUP
+        return QueueKind.REPLICA_LOOKUP
     row.to_primary = True
-    return Line.PRIMARY_LOOKUP
+    return QueueKind.PRIMARY_LOOKUP
 
 
-def _ask_replicas_once(tables: Tables, group: GroupRow, row: RequestRow, now: float) -> None:
-    """Learn where the replicas are now; what is known may be as old as a heartbeat."""
+def _request_replica_reports(tables: Tables, group: GroupRow, row: RequestRow, now: float) -> None:
+    """Request a report of each replica that was not asked since ``row`` arrived."""
     for server in replicas_of(tables, group):
         if server.asked_at < row.arrived_at:
-            want_report(tables, server, now)
+            request_report(tables, server, now)
 
 
-def _worth_waiting(objections: list[Reason]) -> bool:
+def _may_catch_up(exclusions: list[Reason]) -> bool:
     passing = (ReasonKind.REPLICA_BEHIND, ReasonKind.REPLICA_TOO_OLD)
-    return any(objection.kind in passing for objection in objections)
+    return any(exclusion.kind in passing for exclusion in exclusions)
 
 
-def review_replica_lookups(tables: Tables, group: GroupRow, now: float) -> None:
-    """Send on to the primary the lookups that no replica may serve any more."""
-    line = group.queue.lines[Line.REPLICA_LOOKUP]
-    for key in line.items():
+def reroute_replica_lookups(tables: Tables, group: GroupRow, now: float) -> None:
+    """Move lookups that no replica may serve any more to the primary's queue."""
+    queue = group.queues.by_kind[QueueKind.REPLICA_LOOKUP]
+    for key in queue.items():
         row = tables.requests[key]
-        if row.phase is Phase.QUEUED and choose_line(tables, row, now) is Line.PRIMARY_LOOKUP:
-            line.remove(row.request.business, key)
-            group.queue.lines[Line.PRIMARY_LOOKUP].push(row.request.business, key)
+        if row.phase is Phase.QUEUED and choose_queue(tables, row, now) is QueueKind.PRIMARY_LOOKUP:
+            queue.remove(row.request.business, key)
+            group.queues.by_kind[QueueKind.PRIMARY_LOOKUP].push(row.request.business, key)
 
 
 def allowed_age_s(request: Request, pool: PoolSpec) -> float | None:
-    """Return the age of data that a read accepts, in seconds; None for the latest."""
+    """Return the maximum data age that a read accepts, in seconds; None for the latest."""
     if request.latest or request.transaction is not None:
         return None
     age_ms = pool.read_rule.max_age_ms if request.max_age_ms is None else request.max_age_ms
--- a/wharftiller/core/shares.py
+++ b/wharftiller/core/shares.py
@@ -1,4 +1,4 @@
-"""How many connections a box may hold, safe while boxes' lists differ."""
+"""The connection share of a box, safe while boxes read different lists."""
 
 from __future__ import annotations
 
@@ -7,30 +7,29 @@
 if TYPE_CHECKING:
     from wharftiller.core.tables import Tables
 
-NEWCOMER_CONNECTIONS = 3
-"""Connections of each server set aside for boxes too new to be in every list."""
+NEW_BOX_CONNECTIONS = 3
+"""Connections of each server reserved for boxes too new to be in every list."""
 
 
 def connection_share(tables: Tables, max_connections: int) -> int:
     """Return how many connections to one server this box may hold.
 
-    A box counts every box that it saw listed within the list's greatest lag, and
-    takes a full share only once it has itself been seen listed for twice that
-    time, when every other box that still reads the list must have counted it.
-    Until then it holds one of the connections set aside for newcomers. So the
-    shares of boxes whose lists differ add up to no more than
-    ``max_connections`` while at most ``NEWCOMER_CONNECTIONS`` boxes are new at
-    once. The server's own refusal is the backstop beyond that. While the list
-    cannot be read nothing changes: no newcomer becomes established.
+    A box counts every box listed within the list's maximum lag. It takes a full
+    share once it has been listed itself for twice that lag, when every other box
+    that reads the list has counted it; until then it holds one of the reserved
+    connections. The shares of all boxes therefore add up to at most
+    ``max_connections`` while at most ``NEW_BOX_CONNECTIONS`` boxes are new at
+    once; beyond that the server refuses connections. While the list cannot be
+    read, shares stay as they are.
 
     Parameters
     ----------
     max_connections : int
-        What the server accepts from all boxes together.
+        Maximum number of connections that the server accepts from all boxes together.
     """
     if not _is_established(tables):
         return 1
-    shared = max_connections - NEWCOMER_CONNECTIONS
+    shared = max_connections - NEW_BOX_CONNECTIONS
     return max(1, shared // max(len(tables.boxes_seen), 1))
 
 
@@ -40,10 +39,10 @@
     return tables.listed_at - tables.listed_since >= 2 * tables.list_lag_s
 
 
-def apply_listing(tables: Tables, names: tuple[str, ...], read_at: float) -> None:
-    """Take in the platform's list of boxes as read from it at ``read_at`` (seconds).
+def apply_box_list(tables: Tables, names: tuple[str, ...], read_at: float) -> None:
+    """Apply the platform's list of boxes as read from it at ``read_at`` (seconds).
 
-    A list that is told again, because the platform is away, counts once.
+    A list that is delivered again, while the platform is unavailable, is ignored.
     """
     if read_at <= tables.listed_at:
         return
--- a/wharftiller/core/tables.py
+++ b/wharftiller/core/tables.py
@@ -24,38 +24,46 @@
 from wharftiller.core.queueing import GroupQueues
 from wharftiller.core.reasons import Decision, Reason, ReasonKind
 
-DECISIONS_KEPT = 4096
-SERVICE_WEIGHT = 0.1
+MAX_DECISIONS = 4096
+SERVICE_TIME_WEIGHT = 0.1
 """Weight of one statement in a server's smoothed times."""
 
-STEPS_COMPARED = 8
-"""A step is not noted again while it stands among so many of the last ones."""
+RECENT_STEPS = 8
+"""A step that equals one of this many recent ones is not recorded again."""
 
 
 @attrs.define
 class LaneState:
-    """One control connection: the report asked for on it, and whether another is due."""
+    """One control connection: the outstanding report request, and whether another is due.
+
+    Attributes
+    ----------
+    sent_at : float or None
+        When the outstanding request was sent; None without one.
+    due_since : float or None
+        Since when another report is due after this one.
+    """
 
     sent_at: float | None = None
-    wanted_since: float | None = None
+    due_since: float | None = None
 
 
 @attrs.define
 class ServerRow:
-    """What this box knows of one server.
+    """The state of one server.
 
     Attributes
     ----------
     report : Report or None
-        The newest report, asked for at ``report_sent_at``.
+        The newest report, requested at ``report_sent_at``.
     asked_at : float
-        When it was last asked for a report, answered or not.
+        When a report was last requested, answered or not.
     silent_since : float or None
-        Since when it has not answered a report; None while it answers.
+        Since when report requests go unanswered; None while it answers.
     service_s, service_spread_s : float
-        Smoothed time of one statement and its mean deviation, in seconds.
+        Smoothed service time of a statement and its mean deviation, in seconds.
     retry_connect_at : float
-        When a connection may be tried again.
+        Earliest time of the next connection attempt.
     """
 
     name: str
@@ -76,66 +84,66 @@
 
     @property
     def likely_service_s(self) -> float:
-        """A time within which most statements are answered, in seconds."""
+        """Time within which most statements are answered, in seconds."""
         return self.service_s + 2 * self.service_spread_s
 
-    def learn_service(self, took_s: float) -> None:
-        """Take in the time of one statement, in seconds."""
+    def record_service_time(self, took_s: float) -> None:
+        """Update the smoothed service time with one statement's, in seconds."""
         error = took_s - self.service_s
-        self.service_s += SERVICE_WEIGHT * error
-        self.service_spread_s += SERVICE_WEIGHT * (abs(error) - self.service_spread_s)
+        self.service_s += SERVICE_TIME_WEIGHT * error
+        self.service_spread_s += SERVICE_TIME_WEIGHT * (abs(error) - self.service_spread_s)
 
     @property
     def is_quiescing(self) -> bool:
-        """Whether it last said that it refuses writes for a change of primary."""
+        """Whether it last reported that it refuses writes for a planned failover."""
         return self.report is not None and self.report.quiescing
 
     @property
     def is_leaving(self) -> bool:
-        """Whether an operator or the server itself says it is leaving."""
+        """Whether the configuration or the server's own report says that it is leaving."""
         return self.leaving or (self.report is not None and self.report.leaving)
 
 
 @attrs.define
 class GroupRow:
-    """What this box knows of one group.
+    """The state of one group.
 
     Attributes
     ----------
     spec : GroupSpec
-        As last configured; kept until its last request is answered.
+        Last configured state; kept until the last request is answered.
     term : int
-        Highest term in which a server is known to lead.
+        Highest term with a known primary.
     hold_until : float
-        Writes wait until then: the primary just refused one.
+        Time until which nothing is sent to the primary, after it refused a statement.
     changed_at : float
-        When the present primary became known here.
+        When the current primary became known to this box.
     checking : set of int
-        Keys of the requests whose answer waits for a report.
+        Keys of the requests whose answers are being checked.
     """
 
     spec: GroupSpec
-    queue: GroupQueues[int] = attrs.field(factory=GroupQueues)
+    queues: GroupQueues[int] = attrs.field(factory=GroupQueues)
     term: int = 0
     primary: str | None = None
     hold_until: float = 0.0
     changed_at: float = -math.inf
-    fresh: FreshPoints = attrs.field(factory=FreshPoints)
+    fresh_points: FreshPoints = attrs.field(factory=FreshPoints)
     checking: set[int] = attrs.field(factory=set)
 
     @property
     def name(self) -> str:
-        """The group's name."""
+        """Name of the group."""
         return self.spec.name
 
     @property
     def servers(self) -> tuple[str, ...]:
-        """The names of its servers."""
+        """Names of the group's servers."""
         return tuple(endpoint.name for endpoint in self.spec.endpoints)
 
 
 class ConnectionState(enum.Enum):
-    """Life of a statement connection."""
+    """State of a statement connection."""
 
     OPENING = "opening"
     IDLE = "idle"
@@ -150,9 +158,11 @@
     Attributes
     ----------
     request : int or None
-        Key of the request whose answer is owed on it.
+        Key of the request whose answer is outstanding on it.
     transaction : str or None
-        The transaction it is pinned to.
+        Name of the transaction that it is pinned to.
+    resetting : bool
+        Whether a reset of its session state is outstanding.
     """
 
     number: int
@@ -164,7 +174,7 @@
 
 
 class Phase(enum.Enum):
-    """Life of a request."""
+    """Phase of a request."""
 
     QUEUED = "queued"
     SENT = "sent"
@@ -173,20 +183,20 @@
 
 @attrs.define
 class RequestRow:
-    """One request that has no answer yet.
+    """One request without a final answer.
 
     Attributes
     ----------
     settling : bool
-        True once the write itself may not be sent again and only its fate is asked for.
+        True once the write may not be sent again and only its outcome is resolved.
     uncertain : bool
-        True once a copy of a write was sent whose fate was not learned.
+        True once the write was sent and its outcome is unknown.
     to_primary : bool
         Whether only the primary may serve it.
     allowed_age_s : float or None
-        Age of data it accepts, in seconds; None for the latest.
+        Maximum data age it accepts, in seconds; None for the latest.
     generation : int
-        Configuration in force when it arrived, used until its end.
+        Generation of the configuration in force when it arrived.
     """
 
     key: int
@@ -203,7 +213,7 @@
     answered_at: float = 0.0
     answer: EndpointAnswer | None = None
     settling: bool = False
-    uncertain: bool = False
+    may_have_run: bool = False
     replica_until: float = 0.0
     allowed_age_s: float | None = None
     primary_fallback: bool = True
@@ -214,18 +224,18 @@
 
     @property
     def action(self) -> Action:
-        """What is asked of the endpoint now."""
+        """The action to send to the endpoint now."""
         return Action.RESOLVE if self.settling else self.request.action
 
     @property
     def is_booking(self) -> bool:
-        """Whether it is in the class that goes first."""
+        """Whether it is a booking: any statement but a read."""
         return self.request.action is not Action.READ
 
-    def note(self, kind: ReasonKind, detail: str, endpoint: str | None = None) -> Reason:
-        """Add a step to the decision and return it."""
+    def add_step(self, kind: ReasonKind, detail: str, endpoint: str | None = None) -> Reason:
+        """Add a step to the decision, unless it is a recent one, and return it."""
         reason = Reason(kind, detail, endpoint)
-        if reason not in self.steps[-STEPS_COMPARED:]:
+        if reason not in self.steps[-RECENT_STEPS:]:
             self.steps.append(reason)
         return reason
 
@@ -241,8 +251,8 @@
     connection: int
     started_at: float
     used_at: float
-    idle_s: float
-    length_s: float
+    max_idle_s: float
+    max_length_s: float
 
 
 @attrs.define
@@ -252,13 +262,14 @@
     Attributes
     ----------
     boxes_seen : dict of str to float
-        Box names of the platform's list, with the time each was last listed.
+        Names of the boxes in the platform's list, with the time each was last listed.
     listed_since, listed_at : float
-        First time of the present spell in the list, and time of the last read.
+        Since when this box is listed without interruption, and when the list was last
+        read.
     list_lag_s : float
-        The platform's list is never further behind than this, in seconds.
+        Maximum lag of the platform's list, in seconds.
     outputs : list of Output
-        What the running step asks to be done.
+        Outputs of the current step.
     """
 
     box: str
@@ -277,38 +288,38 @@
     retry_tokens: float = 10.0
     stopping: bool = False
     decisions: collections.deque[Decision] = attrs.field(
-        factory=lambda: collections.deque(maxlen=DECISIONS_KEPT)
+        factory=lambda: collections.deque(maxlen=MAX_DECISIONS)
     )
     counters: collections.Counter[str] = attrs.field(factory=collections.Counter)
     outputs: list[Output] = attrs.field(factory=list)
     _numbers: itertools.count[int] = attrs.field(factory=lambda: itertools.count(1))
 
     def next_number(self) -> int:
-        """Return a number never used before on this box."""
+        """Return a number that is unique in this process."""
         return next(self._numbers)
 
     def emit(self, output: Output) -> None:
-        """Ask for something to be done."""
+        """Add an output of the current step."""
         self.outputs.append(output)
 
     def count(self, name: str, by: int = 1) -> None:
-        """Raise a counter that the shell publishes."""
+        """Increment a counter that the daemon publishes."""
         self.counters[name] += by
 
     def take_outputs(self) -> list[Output]:
-        """Return what was asked for and start afresh."""
+        """Return and clear the outputs of the current step."""
         taken, self.outputs = self.outputs, []
         return taken
 
     def primary_of(self, group: GroupRow) -> ServerRow | None:
-        """Return the server known to lead ``group``."""
+        """Return the known primary of ``group``, or None."""
         return self.servers.get(group.primary) if group.primary else None
 
 
 def safe_position(term: int, index: int, opened: int) -> LogPosition:
-    """Return the position whose report proves that ``index`` is kept in ``term``.
+    """Return the position whose report proves that ``index`` is replicated in ``term``.
 
-    What a primary inherited is safe only once its opening record is, so the
-    opening record's index is the least that must be reported.
+    Records that a primary inherited are safe only once its opening record is
+    replicated, so the position is never below the opening record's index.
     """
     return LogPosition(term, max(index, opened))
--- a/wharftiller/core/transactions.py
+++ b/wharftiller/core/transactions.py
@@ -1,11 +1,11 @@
-"""Transactions: pinned to a connection of one box, bounded in idle time and length."""
+"""Transactions: each pins a connection of one box, for a limited idle time and duration."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from wharftiller.core import answers, lifecycle
-from wharftiller.core.admission import new_row, take_in
+from wharftiller.core.admission import insert_request, new_request_row
 from wharftiller.core.dispatch import close_connection, may_pin, send_on
 from wharftiller.core.messages import Action, Request, SendStatement, Verdict
 from wharftiller.core.reasons import Reason, ReasonKind
@@ -15,23 +15,23 @@
     from wharftiller.core.messages import EndpointAnswer
     from wharftiller.core.tables import ConnectionRow, RequestRow, Tables
 
-BEGIN_AGAIN_MS = 1
+BEGIN_RETRY_MS = 1
 RESET_DEADLINE_MS = 1_000
 
 
-def transaction_fault(tables: Tables, request: Request) -> Reason | None:
+def transaction_refusal(tables: Tables, request: Request) -> Reason | None:
     """Return why ``request`` cannot run in the transaction it names, or None."""
     name = request.transaction or ""
     box, _, _ = name.rpartition("/")
     if box != tables.box:
-        detail = f"transaction {name!r} lives on box {box!r}; begin a new one here"
+        detail = f"transaction {name!r} belongs to box {box!r}; begin a new one here"
         return Reason(ReasonKind.TRANSACTION_ELSEWHERE, detail)
     row = tables.transactions.get(name)
     if row is None:
         detail = f"transaction {name!r} is not open; it was rolled back or ended. Begin a new one"
         return Reason(ReasonKind.TRANSACTION_UNKNOWN, detail)
     if (row.pool, row.business) != (request.pool, request.business):
-        detail = f"transaction {name!r} is another business's; use one that you began"
+        detail = f"transaction {name!r} belongs to another business; use one that you began"
         return Reason(ReasonKind.TRANSACTION_FOREIGN, detail)
     if tables.connections[row.connection].request is not None:
         detail = f"transaction {name!r} runs another statement; send one at a time"
@@ -41,20 +41,22 @@
 
 def run_in_transaction(tables: Tables, key: int, request: Request, now: float) -> None:
     """Send a statement on its transaction's connection, or refuse it."""
-    fault = transaction_fault(tables, request)
-    if fault is not None:
-        answers.refuse(tables, key, request, fault, BEGIN_AGAIN_MS, now)
+    refusal = transaction_refusal(tables, request)
+    if refusal is not None:
+        answers.refuse(tables, key, request, refusal, BEGIN_RETRY_MS, now)
         return
     transaction = tables.transactions[request.transaction or ""]
     transaction.used_at = now
-    row = new_row(tables, key, request, now)
-    take_in(tables, row)
+    row = new_request_row(tables, key, request, now)
+    insert_request(tables, row)
     connection = tables.connections[transaction.connection]
     send_on(tables, row, connection, tables.groups[row.group].term, now)
 
 
-def begun(tables: Tables, row: RequestRow, connection: ConnectionRow, now: float) -> str | None:
-    """Pin ``connection`` to a new transaction; None if no more may be pinned."""
+def pin_transaction(
+    tables: Tables, row: RequestRow, connection: ConnectionRow, now: float
+) -> str | None:
+    """Pin ``connection`` to a new transaction; return its name, or None at the limit."""
     group = tables.groups[row.group]
     server = tables.servers[connection.endpoint]
     if not may_pin(tables, group, server):
@@ -77,36 +79,36 @@
     return name
 
 
-def take_transaction_answer(
+def handle_transaction_answer(
     tables: Tables, row: RequestRow, connection: ConnectionRow, answer: EndpointAnswer, now: float
 ) -> None:
-    """Take in the answer to a statement inside a transaction."""
+    """Handle the answer to a statement inside a transaction."""
     action = row.request.action
     tables.transactions[connection.transaction or ""].used_at = now
     if answer.verdict is Verdict.NOT_RUN:
-        _end(tables, connection)
+        _end_transaction(tables, connection)
         detail = f"{answer.report.endpoint}: {answer.why}; it was rolled back. Begin a new one"
         reason = Reason(ReasonKind.TRANSACTION_LOST, detail, answer.report.endpoint)
-        answers.finish_not_run(tables, row, reason, BEGIN_AGAIN_MS, now)
+        answers.finish_not_run(tables, row, reason, BEGIN_RETRY_MS, now)
         return
     if action in (Action.COMMIT, Action.ROLLBACK):
-        _end(tables, connection)
+        _end_transaction(tables, connection)
     if action is Action.COMMIT or answer.verdict is Verdict.REJECTED:
-        lifecycle.take_answer(tables, row, answer, now)
+        lifecycle.handle_answer(tables, row, answer, now)
     else:
         answers.finish_done(
             tables, row, answer, now, provisional=True, transaction=row.request.transaction
         )
 
 
-def _end(tables: Tables, connection: ConnectionRow) -> None:
+def _end_transaction(tables: Tables, connection: ConnectionRow) -> None:
     tables.transactions.pop(connection.transaction or "", None)
     connection.transaction = None
-    reset(tables, connection)
+    reset_connection(tables, connection)
 
 
-def reset(tables: Tables, connection: ConnectionRow) -> None:
-    """Clear a connection of all session state before anyone else gets it."""
+def reset_connection(tables: Tables, connection: ConnectionRow) -> None:
+    """Reset the session state of a connection before another caller uses it."""
     connection.state = ConnectionState.BUSY
     connection.resetting = True
     request_id = f"reset-{connection.number}"
@@ -115,24 +117,24 @@
     )
 
 
-def connection_lost(
+def handle_lost_connection(
     tables: Tables, connection: ConnectionRow, row: RequestRow | None, now: float
 ) -> None:
-    """Answer the statement of a transaction whose connection broke."""
+    """Answer the running statement of a transaction whose connection was lost."""
     if row is None:
         return
     if row.request.action is Action.COMMIT:
-        lifecycle.lost(tables, row, now)
+        lifecycle.handle_lost_answer(tables, row, now)
         return
-    answers.finish_not_run(tables, row, lifecycle.rolled_back(row), BEGIN_AGAIN_MS, now)
+    answers.finish_not_run(tables, row, lifecycle.rolled_back_reason(row), BEGIN_RETRY_MS, now)
 
 
-def end_overdue(tables: Tables, now: float) -> None:
-    """Roll back the transactions that are idle or open for too long."""
+def close_overdue(tables: Tables, now: float) -> None:
+    """Roll back the transactions that exceed their idle time or duration."""
     for row in list(tables.transactions.values()):
         connection = tables.connections[row.connection]
         if connection.request is not None:
             continue
-        if now - row.used_at > row.idle_s or now - row.started_at > row.length_s:
+        if now - row.used_at > row.max_idle_s or now - row.started_at > row.max_length_s:
             close_connection(tables, connection)
             tables.count("transactions.overdue")
--- a/wharftiller/tests/core/driver.py
+++ b/wharftiller/tests/core/driver.py
@@ -71,7 +71,7 @@
                 self.feed(ConnectionOpened(output.connection))
         return outputs
 
-    def state(self, name: str, term: int = 1, position: int = 5, **fields: Any) -> Report:
+    def make_report(self, name: str, term: int = 1, position: int = 5, **fields: Any) -> Report:
         values: dict[str, Any] = {"promised": term, "log_term": term, "opened": 1, **fields}
         return Report(name, position=position, **values)
 
@@ -79,10 +79,10 @@
         self, name: str, term: int = 1, position: int = 5, at: float | None = None, **fields: Any
     ) -> None:
         sent_at = self.now if at is None else at
-        report = self.state(name, term, position, **fields)
+        report = self.make_report(name, term, position, **fields)
         self.feed(ReportArrived(name, Lane.NOW, sent_at, report))
 
-    def ask(self, action: Action = Action.READ, business: str = "rila", **fields: Any) -> int:
+    def submit(self, action: Action = Action.READ, business: str = "rila", **fields: Any) -> int:
         """Have a statement arrive ; return its key."""
         self._key += 1
         session = fields.pop("session", Session("p", business))
@@ -112,6 +112,6 @@
         return orders[0].endpoint
 
 
-def at(term: int, index: int, business: str = "rila") -> Session:
+def session_at(term: int, index: int, business: str = "rila") -> Session:
     """Return a session that has seen a position of group ``g``."""
     return Session("p", business, {"g": LogPosition(term, index)})
--- a/wharftiller/tests/core/test_proxy_fuzz.py
+++ b/wharftiller/tests/core/test_proxy_fuzz.py
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.driver = Driver()
-        self.asked: list[int] = []
+        self.submitted: list[int] = []
         self.generation = 1
 
     def step(self, kind: int, a: int, b: int) -> None:
@@ -46,7 +46,7 @@
         name = "abc"[a % 3]
         match kind:
             case 0 | 1:
-                self.ask(a, b)
+                self.submit(a, b)
             case 2 | 3 | 4:
                 self.answer(a, b)
             case 5 if driver.core.tables.connections:
@@ -70,7 +70,7 @@
                 driver.now += a / 25
                 driver.feed(Tick())
 
-    def ask(self, a: int, b: int) -> None:
+    def submit(self, a: int, b: int) -> None:
         action = (Action.READ, Action.WRITE, Action.BEGIN, Action.COMMIT, Action.ROLLBACK)[a % 5]
         open_names = sorted(self.driver.core.tables.transactions)
         transaction = open_names[b % len(open_names)] if open_names and b % 2 else None
@@ -79,21 +79,21 @@
         if action is Action.BEGIN:
             transaction = None
         fields: dict[str, Any] = {"max_age_ms": (None, 0, 50, 5_000)[b % 4]}
-        key = self.driver.ask(
+        key = self.driver.submit(
             action,
             transaction=transaction,
             repeatable=a % 2 == 0,
             deadline_ms=100 + 100 * b,
             **fields,
         )
-        self.asked.append(key)
+        self.submitted.append(key)
 
     def answer(self, a: int, b: int) -> None:
         sent = self.driver.sent()
         if not sent:
             return
         one = sent[-1 - a % min(len(sent), 4)]
-        state = self.driver.state(
+        state = self.driver.make_report(
             "abc"[b % 3], term=1 + b % 3, position=4 + a, role=list(Role)[a % 2]
         )
         self.driver.answer(one, state, list(Verdict)[b % 5], result=1)
@@ -111,5 +111,5 @@
         given_to = Counter(
             output.key for output in fuzz.driver.outputs if isinstance(output, AnswerCaller)
         )
-        assert given_to == Counter(fuzz.asked)
+        assert given_to == Counter(fuzz.submitted)
         assert fuzz.driver.core.tables.requests == {}
--- a/wharftiller/tests/core/test_queueing.py
+++ b/wharftiller/tests/core/test_queueing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wharftiller.core.queueing import FairQueue, GroupQueues, Line
+from wharftiller.core.queueing import FairQueue, GroupQueues, QueueKind
 
 
 class TestFairQueue:
@@ -31,16 +31,16 @@
         assert [queue.pop(), queue.pop(), queue.pop()] == [1, 3, None]
 
 
-class TestGroupQueue:
+class TestGroupQueues:
     def test_one_business_does_not_make_another_wait_for_all_of_its_requests(self) -> None:
         queue: GroupQueues[int] = GroupQueues()
         for item in range(50):
-            queue.lines[Line.REPLICA_LOOKUP].push("flood", item)
-        assert queue.ahead(Line.REPLICA_LOOKUP, "quiet") == 1
-        assert queue.ahead(Line.REPLICA_LOOKUP, "flood") == 50
+            queue.by_kind[QueueKind.REPLICA_LOOKUP].push("flood", item)
+        assert queue.count_ahead(QueueKind.REPLICA_LOOKUP, "quiet") == 1
+        assert queue.count_ahead(QueueKind.REPLICA_LOOKUP, "flood") == 50
 
     def test_lookups_to_the_primary_wait_for_bookings(self) -> None:
         queue: GroupQueues[int] = GroupQueues()
         for item in range(5):
-            queue.lines[Line.BOOKING].push("a", item)
-        assert queue.ahead(Line.PRIMARY_LOOKUP, "b") == 5
+            queue.by_kind[QueueKind.BOOKING].push("a", item)
+        assert queue.count_ahead(QueueKind.PRIMARY_LOOKUP, "b") == 5
--- a/wharftiller/tests/core/test_shares.py
+++ b/wharftiller/tests/core/test_shares.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wharftiller.core.shares import NEWCOMER_CONNECTIONS, apply_listing, connection_share
+from wharftiller.core.shares import NEW_BOX_CONNECTIONS, apply_box_list, connection_share
 from wharftiller.core.tables import Tables
 
 LAG_S = 10.0
@@ -37,7 +37,7 @@
         for table in self.tables.values():
             seen_at = self.now - self.random.uniform(0, LAG_S)
             listed = [names for at, names in self.changes if at <= seen_at][-1]
-            apply_listing(table, tuple(sorted(listed)), self.now)
+            apply_box_list(table, tuple(sorted(listed)), self.now)
 
     def held(self) -> int:
         return sum(connection_share(each, LIMIT) for each in self.tables.values())
@@ -65,27 +65,27 @@
                 for each in fleet.tables.values()
                 if each.listed_since is None or each.listed_at - each.listed_since < 2 * LAG_S
             ]
-            if len(newcomers) <= NEWCOMER_CONNECTIONS:
+            if len(newcomers) <= NEW_BOX_CONNECTIONS:
                 assert fleet.held() <= LIMIT
 
     def test_newcomer_takes_one_until_every_list_must_show_it(self) -> None:
         tables = Tables("a", random.Random(1), list_lag_s=LAG_S)
         for now in range(0, 20):
-            apply_listing(tables, ("a", "b"), float(now))
+            apply_box_list(tables, ("a", "b"), float(now))
             assert connection_share(tables, LIMIT) == 1
-        apply_listing(tables, ("a", "b"), 20.0)
-        assert connection_share(tables, LIMIT) == (LIMIT - NEWCOMER_CONNECTIONS) // 2
+        apply_box_list(tables, ("a", "b"), 20.0)
+        assert connection_share(tables, LIMIT) == (LIMIT - NEW_BOX_CONNECTIONS) // 2
 
     def test_list_told_again_makes_no_newcomer_established(self) -> None:
         tables = Tables("a", random.Random(1), list_lag_s=LAG_S)
         for _ in range(100):
-            apply_listing(tables, ("a", "b"), 5.0)
+            apply_box_list(tables, ("a", "b"), 5.0)
         assert connection_share(tables, LIMIT) == 1
 
     def test_list_that_cannot_be_read_changes_nothing(self) -> None:
         tables = Tables("a", random.Random(1), list_lag_s=LAG_S)
         for now in range(0, 31):
-            apply_listing(tables, ("a", "b", "c"), float(now))
+            apply_box_list(tables, ("a", "b", "c"), float(now))
         share = connection_share(tables, LIMIT)
-        apply_listing(tables, ("a",), 20.0)
+        apply_box_list(tables, ("a",), 20.0)
         assert connection_share(tables, LIMIT) == share
