--- a/wharftiller/core/admission.py
+++ b/wharftiller/core/admission.py
@@ -45,7 +45,7 @@
 
 def admit(tables: Tables, key: int, request: Request, now: float) -> RequestRow | None:
     """Add ``request`` to its queue, or refuse it and return None."""
-    if tables.stopping:
+    if tables.is_stopping:
         detail = "this box is stopping; retry, and the load balancer picks another box"
         refuse(tables, key, request, Reason(ReasonKind.BOX_STOPPING, detail), 1, now)
         return None
@@ -78,14 +78,14 @@
         group=pool.businesses[request.business],
         arrived_at=now,
         deadline_at=now + request.deadline_ms / 1000,
-        to_primary=False,
-        replica_until=now + pool.read_rule.replica_wait_ms / 1000,
+        needs_primary=False,
+        replica_wait_until=now + pool.read_rule.replica_wait_ms / 1000,
         allowed_age_s=age,
         primary_fallback=pool.read_rule.primary_fallback,
         write_rule=pool.write_rule,
         generation=tables.configuration.generation,
     )
-    row.to_primary = row.is_booking or age is None
+    row.needs_primary = row.is_booking or age is None
     if age is None and not row.is_booking:
         row.add_step(ReasonKind.LATEST_WANTED, "the read accepts no age, so the primary answers")
     return row
--- a/wharftiller/core/dispatch.py
+++ b/wharftiller/core/dispatch.py
@@ -176,13 +176,13 @@
     now: float,
 ) -> None:
     """Send ``row``, or refuse it if it waited and can no longer meet its deadline."""
-    left_s = row.deadline_at - now
-    waited = now > row.arrived_at
-    if not waited or row.may_have_run or left_s >= server.likely_service_s:
+    remaining_s = row.deadline_at - now
+    has_waited = now > row.arrived_at
+    if not has_waited or row.may_have_run or remaining_s >= server.likely_service_s:
         _send(tables, row, server, connection, term, now)
         return
     detail = (
-        f"{left_s * 1000:.0f} ms are left, {server.name} takes about "
+        f"{remaining_s * 1000:.0f} ms are left, {server.name} takes about "
         f"{server.likely_service_s * 1000:.0f} ms; retry after retry_after_ms"
     )
     reason = Reason(ReasonKind.DEADLINE_OUT_OF_REACH, detail, server.name)
--- a/wharftiller/core/lifecycle.py
+++ b/wharftiller/core/lifecycle.py
@@ -66,7 +66,7 @@
         for server in group.servers:
             request_report(tables, tables.servers[server], now)
     else:
-        row.tried.add(name)
+        row.tried_replicas.add(name)
     requeue(tables, row, now)
 
 
@@ -134,7 +134,7 @@
     if report.role is Role.PRIMARY:
         tables.groups[row.group].hold_until = now + PRIMARY_HOLD_S
     else:
-        row.tried.add(report.endpoint)
+        row.tried_replicas.add(report.endpoint)
     requeue(tables, row, now)
 
 
@@ -142,14 +142,14 @@
     """Handle the loss of a connection before the answer to ``row`` arrived."""
     row.add_step(ReasonKind.ANSWER_LOST, f"{row.endpoint} broke off", row.endpoint)
     if row.endpoint and not row.sent_term:
-        row.tried.add(row.endpoint)
+        row.tried_replicas.add(row.endpoint)
     handle_unknown_outcome(tables, row, now)
 
 
 def handle_unknown_outcome(tables: Tables, row: RequestRow, now: float) -> None:
     """Retry or settle a request that was sent and has no usable answer."""
     action = row.request.action
-    if row.settling:
+    if row.is_settling:
         requeue(tables, row, now)
     elif action in (Action.READ, Action.BEGIN):
         _retry(tables, row, now)
@@ -178,7 +178,7 @@
         detail = f"group {row.group!r} records no request ids, so the outcome cannot be resolved"
         answers.finish_unknown(tables, row, Reason(ReasonKind.ANSWER_LOST, detail), now)
         return
-    row.settling = True
+    row.is_settling = True
     row.add_step(ReasonKind.SETTLING, "asking the log; the id is barred unless recorded")
     requeue(tables, row, now)
 
@@ -186,8 +186,8 @@
 def _deadline_reason(tables: Tables, row: RequestRow) -> Reason:
     passed = f"{row.request.deadline_ms} ms have passed"
     primary = tables.primary_of(tables.groups[row.group])
-    silent = primary is None or primary.silent_since is not None
-    if row.phase is Phase.QUEUED and row.to_primary and silent:
+    is_silent = primary is None or primary.silent_since is not None
+    if row.phase is Phase.QUEUED and row.needs_primary and is_silent:
         detail = f"no primary of {row.group} answers and {passed}; retry after retry_after_ms"
         return Reason(ReasonKind.NO_PRIMARY, detail, primary.name if primary else None)
     return Reason(ReasonKind.DEADLINE_PASSED, f"{passed} in phase {row.phase.value}")
@@ -199,16 +199,16 @@
     return Reason(ReasonKind.TRANSACTION_LOST, detail, row.endpoint)
 
 
-def expire(tables: Tables, now: float) -> None:
+def expire_requests(tables: Tables, now: float) -> None:
     """Answer every request whose deadline has passed."""
     while tables.deadlines and tables.deadlines[0][0] <= now:
         _, key = heapq.heappop(tables.deadlines)
         row = tables.requests.get(key)
         if row is not None:
-            _expire_row(tables, row, now)
+            _expire_request(tables, row, now)
 
 
-def _expire_row(tables: Tables, row: RequestRow, now: float) -> None:
+def _expire_request(tables: Tables, row: RequestRow, now: float) -> None:
     group = tables.groups[row.group]
     for queue in group.queues.by_kind.values():
         queue.remove(row.request.business, row.key)
--- a/wharftiller/core/proxy.py
+++ b/wharftiller/core/proxy.py
@@ -93,7 +93,7 @@
             case PrimaryNoticed(name, term, endpoint):
                 self._handle_announcement(name, term, endpoint, now)
             case StopAsked():
-                tables.stopping = True
+                tables.is_stopping = True
             case Tick():
                 self._handle_tick(now)
         return tables.take_outputs()
@@ -156,7 +156,7 @@
         connection = self._tables.connections.get(number)
         if connection is None:
             return
-        if connection.resetting:
+        if connection.is_resetting:
             self._handle_reset_answer(connection, answer, now)
             return
         row = self._row_of(connection)
@@ -181,7 +181,7 @@
         if answer.verdict is not Verdict.RAN:
             close_connection(self._tables, connection)
             return
-        connection.resetting = False
+        connection.is_resetting = False
         connection.state = ConnectionState.IDLE
         self._dispatch_for(connection, now)
 
@@ -271,7 +271,7 @@
                 lifecycle.advance_check(self._tables, row, now)
 
     def _handle_tick(self, now: float) -> None:
-        lifecycle.expire(self._tables, now)
+        lifecycle.expire_requests(self._tables, now)
         transactions.close_overdue(self._tables, now)
         heartbeat(self._tables, now)
         trim_connections(self._tables, now)
--- a/wharftiller/core/routing.py
+++ b/wharftiller/core/routing.py
@@ -24,7 +24,7 @@
     (see `wharftiller.core.replication.check_answer`).
     """
     name = server.name
-    if name in row.tried:
+    if name in row.tried_replicas:
         return Reason(ReasonKind.REPLICA_TRIED, f"{name} was tried already", name)
     if server.is_leaving:
         return Reason(ReasonKind.ENDPOINT_LEAVING, f"{name} is leaving", name)
@@ -64,11 +64,11 @@
 
 def choose_queue(tables: Tables, row: RequestRow, now: float) -> QueueKind:
     """Return the queue for ``row``, recording the reasons as steps."""
-    if row.settling:
+    if row.is_settling:
         return QueueKind.SETTLING
     if row.is_booking:
         return QueueKind.BOOKING
-    if row.to_primary:
+    if row.needs_primary:
         return QueueKind.PRIMARY_LOOKUP
     group = tables.groups[row.group]
     exclusions = [
@@ -80,13 +80,13 @@
         return QueueKind.REPLICA_LOOKUP
     for exclusion in exclusions:
         row.add_step(exclusion.kind, exclusion.detail, exclusion.endpoint)
-    if _may_catch_up(exclusions) and now < row.replica_until:
+    if _may_catch_up(exclusions) and now < row.replica_wait_until:
         row.add_step(ReasonKind.WAITING_FOR_REPLICA, "a replica may catch up shortly")
         _request_replica_reports(tables, group, row, now)
         return QueueKind.REPLICA_LOOKUP
     if not row.primary_fallback:
         return QueueKind.REPLICA_LOOKUP
-    row.to_primary = True
+    row.needs_primary = True
     return QueueKind.PRIMARY_LOOKUP
 
 
@@ -98,8 +98,8 @@
 
 
 def _may_catch_up(exclusions: list[Reason]) -> bool:
-    passing = (ReasonKind.REPLICA_BEHIND, ReasonKind.REPLICA_TOO_OLD)
-    return any(exclusion.kind in passing for exclusion in exclusions)
+    transient_kinds = (ReasonKind.REPLICA_BEHIND, ReasonKind.REPLICA_TOO_OLD)
+    return any(exclusion.kind in transient_kinds for exclusion in exclusions)
 
 
 def reroute_replica_lookups(tables: Tables, group: GroupRow, now: float) -> None:
--- a/wharftiller/core/shares.py
+++ b/wharftiller/core/shares.py
@@ -36,7 +36,7 @@
 def _is_established(tables: Tables) -> bool:
     if tables.listed_since is None:
         return False
-    return tables.listed_at - tables.listed_since >= 2 * tables.list_lag_s
+    return tables.list_read_at - tables.listed_since >= 2 * tables.list_lag_s
 
 
 def apply_box_list(tables: Tables, names: tuple[str, ...], read_at: float) -> None:
@@ -44,9 +44,9 @@
 
     A list that is delivered again, while the platform is unavailable, is ignored.
     """
-    if read_at <= tables.listed_at:
+    if read_at <= tables.list_read_at:
         return
-    tables.listed_at = read_at
+    tables.list_read_at = read_at
     for name in names:
         tables.boxes_seen[name] = read_at
     for name, seen in list(tables.boxes_seen.items()):
--- a/wharftiller/core/tables.py
+++ b/wharftiller/core/tables.py
@@ -161,7 +161,7 @@
         Key of the request whose answer is outstanding on it.
     transaction : str or None
         Name of the transaction that it is pinned to.
-    resetting : bool
+    is_resetting : bool
         Whether a reset of its session state is outstanding.
     """
 
@@ -170,7 +170,7 @@
     state: ConnectionState = ConnectionState.OPENING
     request: int | None = None
     transaction: str | None = None
-    resetting: bool = False
+    is_resetting: bool = False
 
 
 class Phase(enum.Enum):
@@ -187,11 +187,11 @@
 
     Attributes
     ----------
-    settling : bool
+    is_settling : bool
         True once the write may not be sent again and only its outcome is resolved.
-    uncertain : bool
+    may_have_run : bool
         True once the write was sent and its outcome is unknown.
-    to_primary : bool
+    needs_primary : bool
         Whether only the primary may serve it.
     allowed_age_s : float or None
         Maximum data age it accepts, in seconds; None for the latest.
@@ -204,7 +204,7 @@
     group: str
     arrived_at: float
     deadline_at: float
-    to_primary: bool
+    needs_primary: bool
     phase: Phase = Phase.QUEUED
     connection: int | None = None
     endpoint: str | None = None
@@ -212,20 +212,20 @@
     sent_term: int = 0
     answered_at: float = 0.0
     answer: EndpointAnswer | None = None
-    settling: bool = False
+    is_settling: bool = False
     may_have_run: bool = False
-    replica_until: float = 0.0
+    replica_wait_until: float = 0.0
     allowed_age_s: float | None = None
     primary_fallback: bool = True
     write_rule: WriteRule = attrs.field(factory=WriteRule)
     generation: int = 0
-    tried: set[str] = attrs.field(factory=set)
+    tried_replicas: set[str] = attrs.field(factory=set)
     steps: list[Reason] = attrs.field(factory=list)
 
     @property
     def action(self) -> Action:
         """The action to send to the endpoint now."""
-        return Action.RESOLVE if self.settling else self.request.action
+        return Action.RESOLVE if self.is_settling else self.request.action
 
     @property
     def is_booking(self) -> bool:
@@ -263,7 +263,7 @@
     ----------
     boxes_seen : dict of str to float
         Names of the boxes in the platform's list, with the time each was last listed.
-    listed_since, listed_at : float
+    listed_since, list_read_at : float
         Since when this box is listed without interruption, and when the list was last
         read.
     list_lag_s : float
@@ -283,10 +283,10 @@
     deadlines: list[tuple[float, int]] = attrs.field(factory=list)
     boxes_seen: dict[str, float] = attrs.field(factory=dict)
     listed_since: float | None = None
-    listed_at: float = -math.inf
+    list_read_at: float = -math.inf
     list_lag_s: float = 30.0
     retry_tokens: float = 10.0
-    stopping: bool = False
+    is_stopping: bool = False
     decisions: collections.deque[Decision] = attrs.field(
         factory=lambda: collections.deque(maxlen=MAX_DECISIONS)
     )
--- a/wharftiller/core/transactions.py
+++ b/wharftiller/core/transactions.py
@@ -110,7 +110,7 @@
 def reset_connection(tables: Tables, connection: ConnectionRow) -> None:
     """Reset the session state of a connection before another caller uses it."""
     connection.state = ConnectionState.BUSY
-    connection.resetting = True
+    connection.is_resetting = True
     request_id = f"reset-{connection.number}"
     tables.emit(
         SendStatement(connection.number, request_id, "", Action.RESET, None, 0, RESET_DEADLINE_MS)
--- a/wharftiller/tests/core/driver.py
+++ b/wharftiller/tests/core/driver.py
@@ -1,4 +1,4 @@
-"""Drives a proxy's core by hand: feeds inputs, keeps outputs, writes reports and answers."""
+"""Test driver for the proxy's core: feeds inputs, records outputs, builds reports."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class Driver:
-    """A core with group ``g``: ``a`` leads term 1, ``b`` and ``c`` follow, all at index 5."""
+    """A core with group ``g``: ``a`` is primary of term 1, all servers are at index 5."""
 
     def __init__(self) -> None:
         self.core = ProxyCore("box-1", random.Random(1), list_lag_s=1.0)
@@ -83,7 +83,7 @@
         self.feed(ReportArrived(name, Lane.NOW, sent_at, report))
 
     def submit(self, action: Action = Action.READ, business: str = "rila", **fields: Any) -> int:
-        """Have a statement arrive ; return its key."""
+        """Submit a statement and return its key."""
         self._key += 1
         session = fields.pop("session", Session("p", business))
         request = Request(f"q{self._key}", "p", business, action, session, **fields)
@@ -108,10 +108,10 @@
         self.feed(StatementAnswered(sent.connection, answer))
 
     def endpoint_of(self, sent: SendStatement) -> str:
-        orders = [o for o in self._of(OpenConnection) if o.connection == sent.connection]
-        return orders[0].endpoint
+        opened = [o for o in self._of(OpenConnection) if o.connection == sent.connection]
+        return opened[0].endpoint
 
 
 def session_at(term: int, index: int, business: str = "rila") -> Session:
-    """Return a session that has seen a position of group ``g``."""
+    """Return a session that has read or written a position of group ``g``."""
     return Session("p", business, {"g": LogPosition(term, index)})
--- a/wharftiller/tests/core/test_acknowledgement.py
+++ b/wharftiller/tests/core/test_acknowledgement.py
@@ -1,4 +1,4 @@
-"""No acknowledged write is lost, whatever is late: histories and an independent ledger."""
+"""No acknowledged write is lost, in recorded, random and generated message histories."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return report.promised == target.term and report.position >= target.index
 
 
-WEAKER: dict[str, tuple[Rule, int]] = {
+WEAKER_RULES: dict[str, tuple[Rule, int]] = {
     "log_term_alone": (log_term_alone, 2),
     "promised_term_alone": (promised_term_alone, 2),
     "fence_of_one": (has_replicated, 1),
@@ -48,9 +48,9 @@
         history = History(has_replicated).run(read_steps(path))
         assert history.lost == []
 
-    @pytest.mark.parametrize("name", sorted(WEAKER))
+    @pytest.mark.parametrize("name", sorted(WEAKER_RULES))
     def test_recorded_history_loses_under_the_weaker_rule(self, name: str) -> None:
-        rule, majority = WEAKER[name]
+        rule, majority = WEAKER_RULES[name]
         path = TRACES / f"{name}.history.jsonl"
         assert History(rule, majority).run(read_steps(path)).lost != []
 
@@ -68,7 +68,7 @@
         assert History(has_replicated).run(steps).lost == []
 
 
-class TestCovers:
+class TestHasReplicated:
     @pytest.mark.parametrize(
         ("promised", "log_term", "position", "expected"),
         [
--- a/wharftiller/tests/core/test_proxy.py
+++ b/wharftiller/tests/core/test_proxy.py
@@ -1,4 +1,4 @@
-"""Single decisions of the proxy's core."""
+"""Individual decisions of the proxy's core."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class TestReads:
-    def test_replica_behind_is_passed_over(self) -> None:
+    def test_replica_behind_is_skipped(self) -> None:
         driver = Driver()
         driver.report("b", position=9)
         driver.submit(max_age_ms=60_000, session=session_at(1, 9))
         assert driver.endpoint_of(driver.sent()[-1]) == "b"
 
-    def test_answer_behind_the_session_is_thrown_away(self) -> None:
+    def test_answer_behind_the_session_is_discarded(self) -> None:
         driver = Driver()
         driver.report("b", position=9)
         key = driver.submit(max_age_ms=60_000, session=session_at(1, 9))
@@ -41,7 +41,7 @@
         driver.feed(Tick())
         assert driver.endpoint_of(driver.sent()[-1]) != "b"
 
-    def test_answer_of_a_server_between_terms_is_thrown_away(self) -> None:
+    def test_answer_of_a_server_between_terms_is_discarded(self) -> None:
         driver = Driver()
         key = driver.submit(max_age_ms=60_000)
         sent = driver.sent()[-1]
@@ -49,7 +49,7 @@
         driver.answer(sent, driver.make_report(name, promised=2), result="stale")
         assert key not in driver.answers()
 
-    def test_answer_older_than_allowed_is_thrown_away(self) -> None:
+    def test_answer_older_than_allowed_is_discarded(self) -> None:
         driver = Driver()
         key = driver.submit(max_age_ms=100)
         sent = driver.sent()[-1]
@@ -62,7 +62,7 @@
         assert key not in driver.answers()
         assert driver.endpoint_of(driver.sent()[-1]) != name
 
-    def test_silence_is_no_report(self) -> None:
+    def test_lost_report_confirms_nothing(self) -> None:
         driver = Driver()
         driver.now += 0.1
         key = driver.submit(latest=True)
@@ -71,7 +71,7 @@
             driver.feed(ReportLost(name, Lane.NOW, driver.now))
         assert key not in driver.answers()
 
-    def test_latest_read_waits_for_a_report_begun_after_it(self) -> None:
+    def test_latest_read_waits_for_a_report_requested_after_it(self) -> None:
         driver = Driver()
         before = driver.now
         driver.now += 0.1
@@ -141,7 +141,7 @@
         driver.now += 0.11
         driver.feed(Tick())
         assert CloseConnection(old.connection) in driver.outputs
-        assert driver.core.tables.requests[1001].settling
+        assert driver.core.tables.requests[1001].is_settling
 
     def test_statement_that_a_deposed_primary_refuses_runs_on_the_new_one(self) -> None:
         driver = Driver()
@@ -183,7 +183,7 @@
         driver.answer(sent, driver.make_report("a", position=6, role=Role.PRIMARY))
         assert len(driver.answers()) == before
 
-    def test_connection_with_an_answer_owed_is_closed(self) -> None:
+    def test_connection_with_an_outstanding_answer_is_closed(self) -> None:
         driver = Driver()
         driver.submit(Action.WRITE, deadline_ms=100)
         sent = driver.sent()[-1]
@@ -203,7 +203,7 @@
         assert driver.answers()[key].outcome is expected
         assert driver.answers()[key].retry_after_ms
 
-    def test_deadline_without_a_primary_says_so(self) -> None:
+    def test_deadline_without_a_primary_reports_no_primary(self) -> None:
         driver = Driver()
         driver.core.tables.groups["g"].hold_until = 1e9
         key = driver.submit(Action.WRITE, deadline_ms=100)
@@ -214,7 +214,7 @@
 
 
 class TestLimits:
-    def test_full_queue_is_refused_at_once_with_when_to_come_back(self) -> None:
+    def test_full_queue_is_refused_at_once_with_a_retry_time(self) -> None:
         driver = Driver()
         driver.core.tables.groups["g"].hold_until = 1e9
         keys = [driver.submit(Action.WRITE, deadline_ms=60_000) for _ in range(60)]
@@ -264,7 +264,7 @@
 
 
 class TestTransactions:
-    def _begun(self, driver: Driver) -> str:
+    def _begin(self, driver: Driver) -> str:
         key = driver.submit(Action.BEGIN)
         driver.answer(driver.sent()[-1], driver.make_report("a", role=Role.PRIMARY))
         transaction = driver.answers()[key].transaction
@@ -273,7 +273,7 @@
 
     def test_connection_is_reset_after_a_transaction(self) -> None:
         driver = Driver()
-        transaction = self._begun(driver)
+        transaction = self._begin(driver)
         pinned = driver.sent()[-1].connection
         driver.submit(Action.COMMIT, transaction=transaction)
         driver.answer(driver.sent()[-1], driver.make_report("a", position=6, role=Role.PRIMARY))
@@ -284,7 +284,7 @@
 
     def test_idle_transaction_is_rolled_back(self) -> None:
         driver = Driver()
-        transaction = self._begun(driver)
+        transaction = self._begin(driver)
         pinned = driver.sent()[-1].connection
         driver.now += 3
         driver.feed(Tick())
@@ -294,7 +294,7 @@
 
     def test_statement_past_its_deadline_ends_its_transaction(self) -> None:
         driver = Driver()
-        transaction = self._begun(driver)
+        transaction = self._begin(driver)
         late = driver.submit(Action.WRITE, transaction=transaction, deadline_ms=100)
         driver.now += 0.2
         driver.feed(Tick())
@@ -307,7 +307,7 @@
 
     def test_commit_past_its_deadline_is_unknown(self) -> None:
         driver = Driver()
-        transaction = self._begun(driver)
+        transaction = self._begin(driver)
         key = driver.submit(Action.COMMIT, transaction=transaction, deadline_ms=100)
         driver.now += 0.2
         driver.feed(Tick())
@@ -316,7 +316,7 @@
 
     def test_transaction_in_use_is_not_idle(self) -> None:
         driver = Driver()
-        transaction = self._begun(driver)
+        transaction = self._begin(driver)
         driver.submit(Action.WRITE, transaction=transaction)
         driver.now += 1.5
         driver.answer(driver.sent()[-1], driver.make_report("a", role=Role.PRIMARY))
@@ -327,27 +327,27 @@
 
     def test_one_statement_at_a_time(self) -> None:
         driver = Driver()
-        transaction = self._begun(driver)
+        transaction = self._begin(driver)
         driver.submit(Action.WRITE, transaction=transaction)
         key = driver.submit(Action.WRITE, transaction=transaction)
         assert driver.answers()[key].reason.kind is ReasonKind.TRANSACTION_BUSY
 
     def test_lost_commit_is_settled(self) -> None:
         driver = Driver()
-        transaction = self._begun(driver)
+        transaction = self._begin(driver)
         key = driver.submit(Action.COMMIT, transaction=transaction)
         driver.feed(ConnectionLost(driver.sent()[-1].connection))
         assert driver.core.tables.requests[key].action is Action.RESOLVE
 
 
 class TestOverload:
-    def _slow(self, driver: Driver, service_s: float) -> None:
+    def _slow_down(self, driver: Driver, service_s: float) -> None:
         for server in driver.core.tables.servers.values():
             server.service_s = service_s
 
     def test_request_that_cannot_make_its_deadline_is_refused_on_arrival(self) -> None:
         driver = Driver()
-        self._slow(driver, 0.3)
+        self._slow_down(driver, 0.3)
         keys = [driver.submit(Action.WRITE, deadline_ms=500) for _ in range(60)]
         refused = [driver.answers()[key] for key in keys if key in driver.answers()]
         assert refused
@@ -358,13 +358,13 @@
         driver = Driver()
         driver.core.tables.groups["g"].hold_until = driver.now + 0.4
         key = driver.submit(Action.WRITE, deadline_ms=500)
-        self._slow(driver, 0.2)
+        self._slow_down(driver, 0.2)
         driver.now += 0.45
         driver.feed(Tick())
         assert driver.sent() == []
         assert driver.answers()[key].outcome is Outcome.NOT_RUN
 
-    def test_statement_that_runs_long_tells_of_a_slow_server(self) -> None:
+    def test_long_running_statement_reveals_a_slow_server(self) -> None:
         driver = Driver()
         for _ in range(11):
             driver.submit(Action.WRITE, deadline_ms=5_000)
@@ -375,7 +375,7 @@
 
 
 class TestConfiguration:
-    def test_group_removed_under_a_request_answers_it_and_goes(self) -> None:
+    def test_group_removed_during_a_request_is_dropped_after_its_answer(self) -> None:
         driver = Driver()
         key = driver.submit(Action.WRITE)
         driver.feed(ConfigurationArrived(Configuration(2)))
@@ -387,7 +387,7 @@
         assert driver.core.tables.groups == {}
         assert driver.core.tables.connections == {}
 
-    def test_pool_removed_under_a_begin_does_no_harm(self) -> None:
+    def test_pool_removed_during_a_begin_is_harmless(self) -> None:
         driver = Driver()
         key = driver.submit(Action.BEGIN)
         driver.feed(ConfigurationArrived(Configuration(2, {}, CONFIGURATION.groups)))
--- a/wharftiller/tests/core/test_proxy_fuzz.py
+++ b/wharftiller/tests/core/test_proxy_fuzz.py
@@ -1,4 +1,4 @@
-"""Any order of inputs: the core never fails, and every request gets one final answer."""
+"""In any order of inputs the core raises nothing and answers every request once."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 )
 from wharftiller.tests.core.driver import CONFIGURATION, Driver
 
-LONGEST_S = 6.0
-NO_POOL = Configuration(0, {}, CONFIGURATION.groups)
-NOTHING = Configuration(0, {}, {})
+MAX_DEADLINE_S = 6.0
+WITHOUT_POOLS = Configuration(0, {}, CONFIGURATION.groups)
+EMPTY = Configuration(0, {}, {})
 
 numbers = st.integers(0, 50)
 steps = st.lists(st.tuples(st.integers(0, 13), numbers, numbers), max_size=60)
 
 
 class Fuzz:
-    """Turns numbers into inputs that a proxy could get, in any order."""
+    """Converts random numbers into inputs of a proxy."""
 
     def __init__(self) -> None:
         self.driver = Driver()
@@ -64,8 +64,10 @@
                 driver.feed(PrimaryNoticed("g", 1 + b % 4, name))
             case 11:
                 self.generation += 1
-                made = (CONFIGURATION, CONFIGURATION, NO_POOL, NOTHING)[a % 4]
-                driver.feed(ConfigurationArrived(attrs.evolve(made, generation=self.generation)))
+                configuration = (CONFIGURATION, CONFIGURATION, WITHOUT_POOLS, EMPTY)[a % 4]
+                driver.feed(
+                    ConfigurationArrived(attrs.evolve(configuration, generation=self.generation))
+                )
             case _:
                 driver.now += a / 25
                 driver.feed(Tick())
@@ -92,21 +94,21 @@
         sent = self.driver.sent()
         if not sent:
             return
-        one = sent[-1 - a % min(len(sent), 4)]
+        statement = sent[-1 - a % min(len(sent), 4)]
         state = self.driver.make_report(
             "abc"[b % 3], term=1 + b % 3, position=4 + a, role=list(Role)[a % 2]
         )
-        self.driver.answer(one, state, list(Verdict)[b % 5], result=1)
+        self.driver.answer(statement, state, list(Verdict)[b % 5], result=1)
 
 
 class TestProxyCore:
     @given(steps)
     @settings(derandomize=True, max_examples=300, deadline=None, database=None)
-    def test_every_request_gets_one_answer(self, taken: list[tuple[int, int, int]]) -> None:
+    def test_every_request_gets_one_answer(self, steps_taken: list[tuple[int, int, int]]) -> None:
         fuzz = Fuzz()
-        for kind, a, b in taken:
+        for kind, a, b in steps_taken:
             fuzz.step(kind, a, b)
-        fuzz.driver.now += LONGEST_S
+        fuzz.driver.now += MAX_DEADLINE_S
         fuzz.driver.feed(Tick())
         given_to = Counter(
             output.key for output in fuzz.driver.outputs if isinstance(output, AnswerCaller)
--- a/wharftiller/tests/core/test_queueing.py
+++ b/wharftiller/tests/core/test_queueing.py
@@ -14,7 +14,7 @@
         order = [queue.pop() for _ in range(4)]
         assert order == ["flood-0", "quiet-0", "flood-1", "flood-2"]
 
-    def test_head_that_does_not_fit_lets_others_pass(self) -> None:
+    def test_ineligible_head_does_not_block_other_businesses(self) -> None:
         queue: FairQueue[str] = FairQueue()
         queue.push("a", "a-0")
         queue.push("b", "b-0")
--- a/wharftiller/tests/core/test_shares.py
+++ b/wharftiller/tests/core/test_shares.py
@@ -1,4 +1,4 @@
-"""The boxes' connections never pass a server's limit while their lists differ."""
+"""All boxes' connections stay within a server's limit while their lists differ."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.define
 class _Fleet:
-    """Boxes that read a list which shows each change at most ``LAG_S`` late."""
+    """Boxes that read a list with a lag of at most ``LAG_S``."""
 
     random: random.Random
     now: float = 0.0
@@ -25,9 +25,9 @@
     changes: list[tuple[float, frozenset[str]]] = attrs.field(factory=lambda: [(-1e9, frozenset())])
     tables: dict[str, Tables] = attrs.field(factory=dict)
 
-    def replace(self, leaving: str | None) -> None:
-        if leaving is not None:
-            del self.tables[leaving]
+    def replace(self, removed: str | None) -> None:
+        if removed is not None:
+            del self.tables[removed]
         self.serial += 1
         name = f"box-{self.serial}"
         self.tables[name] = Tables(name, self.random, list_lag_s=LAG_S)
@@ -52,23 +52,23 @@
             fleet.replace(None)
         self._run(fleet, 30)
         for _ in range(6):
-            leaving = fleet.random.choice([None, *sorted(fleet.tables)])
-            fleet.replace(leaving)
+            removed = fleet.random.choice([None, *sorted(fleet.tables)])
+            fleet.replace(removed)
             self._run(fleet, fleet.random.randint(21, 30))
 
     def _run(self, fleet: _Fleet, seconds: int) -> None:
         for _ in range(seconds):
             fleet.now += 1
             fleet.read_lists()
-            newcomers = [
+            new_boxes = [
                 each
                 for each in fleet.tables.values()
-                if each.listed_since is None or each.listed_at - each.listed_since < 2 * LAG_S
+                if each.listed_since is None or each.list_read_at - each.listed_since < 2 * LAG_S
             ]
-            if len(newcomers) <= NEW_BOX_CONNECTIONS:
+            if len(new_boxes) <= NEW_BOX_CONNECTIONS:
                 assert fleet.held() <= LIMIT
 
-    def test_newcomer_takes_one_until_every_list_must_show_it(self) -> None:
+    def test_new_box_takes_one_connection_until_every_list_shows_it(self) -> None:
         tables = Tables("a", random.Random(1), list_lag_s=LAG_S)
         for now in range(0, 20):
             apply_box_list(tables, ("a", "b"), float(now))
@@ -76,7 +76,7 @@
         apply_box_list(tables, ("a", "b"), 20.0)
         assert connection_share(tables, LIMIT) == (LIMIT - NEW_BOX_CONNECTIONS) // 2
 
-    def test_list_told_again_makes_no_newcomer_established(self) -> None:
+    def test_list_delivered_again_does_not_establish_a_new_box(self) -> None:
         tables = Tables("a", random.Random(1), list_lag_s=LAG_S)
         for _ in range(100):
             apply_box_list(tables, ("a", "b"), 5.0)
--- a/wharftiller/tests/fakes/world.py
+++ b/wharftiller/tests/fakes/world.py
@@ -248,7 +248,7 @@
             tables = box.proxy.core.tables
             leads = [group.primary for group in tables.groups.values()]
             share_known = tables.listed_since is not None and (
-                tables.listed_at - tables.listed_since >= 2 * tables.list_lag_s
+                tables.list_read_at - tables.listed_since >= 2 * tables.list_lag_s
             )
             if len(leads) != self.size.groups or not all(leads) or not share_known:
                 return False
