--- a/wharftiller/core/lifecycle.py
+++ b/wharftiller/core/lifecycle.py
@@ -108,12 +108,12 @@
     tables: Tables, row: RequestRow, answer: EndpointAnswer, now: float
 ) -> None:
     group = tables.groups[row.group]
-    asked = answer.report.endpoint
+    answered_by = answer.report.endpoint
     for name in group.servers:
         server = tables.servers[name]
-        if row.is_booking and name != asked:
+        if row.is_booking and name != answered_by:
             request_replication_report(tables, server, replication_target(answer).index, now)
-        elif not row.is_booking and (name != asked or answer.report.role is Role.REPLICA):
+        elif not row.is_booking and (name != answered_by or answer.report.role is Role.REPLICA):
             _request_recent_report(tables, row, name, now)
 
 
--- a/wharftiller/core/reports.py
+++ b/wharftiller/core/reports.py
@@ -40,7 +40,7 @@
 def _send(tables: Tables, server: ServerRow, lane: Lane, index: int, now: float) -> None:
     state = server.lanes[lane]
     state.sent_at = now
-    server.asked_at = now
+    server.report_requested_at = now
     state.due_since = None
     wait_ms = REPLICATION_WAIT_MS if lane is Lane.COVER else 0
     tables.emit(SendReport(server.name, server.control_address, lane, index, wait_ms))
@@ -55,10 +55,10 @@
 
 
 def heartbeat(tables: Tables, now: float) -> None:
-    """Request a report from every server last asked ``HEARTBEAT_S`` ago or earlier."""
+    """Request reports from servers whose last request is ``HEARTBEAT_S`` old or older."""
     for server in tables.servers.values():
         state = server.lanes[Lane.NOW]
-        if state.sent_at is None and now - server.asked_at >= HEARTBEAT_S:
+        if state.sent_at is None and now - server.report_requested_at >= HEARTBEAT_S:
             _send(tables, server, Lane.NOW, 0, now)
 
 
--- a/wharftiller/core/routing.py
+++ b/wharftiller/core/routing.py
@@ -91,9 +91,9 @@
 
 
 def _request_replica_reports(tables: Tables, group: GroupRow, row: RequestRow, now: float) -> None:
-    """Request a report of each replica that was not asked since ``row`` arrived."""
+    """Request a report of each replica without a request since ``row`` arrived."""
     for server in replicas_of(tables, group):
-        if server.asked_at < row.arrived_at:
+        if server.report_requested_at < row.arrived_at:
             request_report(tables, server, now)
 
 
--- a/wharftiller/core/tables.py
+++ b/wharftiller/core/tables.py
@@ -56,7 +56,7 @@
     ----------
     report : Report or None
         The newest report, requested at ``report_sent_at``.
-    asked_at : float
+    report_requested_at : float
         When a report was last requested, answered or not.
     silent_since : float or None
         Since when report requests go unanswered; None while it answers.
@@ -74,7 +74,7 @@
     leaving: bool = False
     report: Report | None = None
     report_sent_at: float = -math.inf
-    asked_at: float = -math.inf
+    report_requested_at: float = -math.inf
     silent_since: float | None = None
     service_s: float = 0.005
     service_spread_s: float = 0.0
