--- a/wharftiller/tests/core/driver.py
+++ b/wharftiller/tests/core/driver.py
@@ -1,4 +1,4 @@
-"""Drives a proxy's core by hand: feeds inputs, keeps outputs, writes reports and answers."""
+"""Test driver for the proxy's core: feeds inputs, records outputs, builds reports."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class Driver:
-    """A core with group ``g``: ``a`` leads term 1, ``b`` and ``c`` follow, all at index 5."""
+    """A core with group ``g``: ``a`` is primary of term 1, all servers are at index 5."""
 
     def __init__(self) -> None:
         self.core = ProxyCore("box-1", random.Random(1), list_lag_s=1.0)
@@ -71,7 +71,7 @@
                 self.feed(ConnectionOpened(output.connection))
         return outputs
 
-    def state(self, name: str, term: int = 1, position: int = 5, **fields: Any) -> Report:
+    def make_report(self, name: str, term: int = 1, position: int = 5, **fields: Any) -> Report:
         values: dict[str, Any] = {"promised": term, "log_term": term, "opened": 1, **fields}
         return Report(name, position=position, **values)
 
@@ -79,11 +79,11 @@
         self, name: str, term: int = 1, position: int = 5, at: float | None = None, **fields: Any
     ) -> None:
         sent_at = self.now if at is None else at
-        report = self.state(name, term, position, **fields)
+        report = self.make_report(name, term, position, **fields)
         self.feed(ReportArrived(name, Lane.NOW, sent_at, report))
 
-    def ask(self, action: Action = Action.READ, business: str = "rila", **fields: Any) -> int:
-        """Have a statement arrive ; return its key."""
+    def submit(self, action: Action = Action.READ, business: str = "rila", **fields: Any) -> int:
+        """Submit a statement and return its key."""
         self._key += 1
         session = fields.pop("session", Session("p", business))
         request = Request(f"q{self._key}", "p", business, action, session, **fields)
@@ -108,10 +108,10 @@
         self.feed(StatementAnswered(sent.connection, answer))
 
     def endpoint_of(self, sent: SendStatement) -> str:
-        orders = [o for o in self._of(OpenConnection) if o.connection == sent.connection]
-        return orders[0].endpoint
+        opened = [o for o in self._of(OpenConnection) if o.connection == sent.connection]
+        return opened[0].endpoint
 
 
-def at(term: int, index: int, business: str = "rila") -> Session:
-    """Return a session that has seen a position of group ``g``."""
+def session_at(term: int, index: int, business: str = "rila") -> Session:
+    """Return a session that has read or written a position of group ``g``."""
     return Session("p", business, {"g": LogPosition(term, index)})
--- a/wharftiller/tests/core/test_proxy_fuzz.py
+++ b/wharftiller/tests/core/test_proxy_fuzz.py
@@ -1,4 +1,4 @@
-"""Any order of inputs: the core never fails, and every request gets one final answer."""
+"""In any order of inputs the core raises nothing and answers every request once."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 )
 from wharftiller.tests.core.driver import CONFIGURATION, Driver
 
-LONGEST_S = 6.0
-NO_POOL = Configuration(0, {}, CONFIGURATION.groups)
-NOTHING = Configuration(0, {}, {})
+MAX_DEADLINE_S = 6.0
+WITHOUT_POOLS = Configuration(0, {}, CONFIGURATION.groups)
+EMPTY = Configuration(0, {}, {})
 
 numbers = st.integers(0, 50)
 steps = st.lists(st.tuples(st.integers(0, 13), numbers, numbers), max_size=60)
 
 
 class Fuzz:
-    """Turns numbers into inputs that a proxy could get, in any order."""
+    """Converts random numbers into inputs of a proxy."""
 
     def __init__(self) -> None:
         self.driver = Driver()
-        self.asked: list[int] = []
+        self.submitted: list[int] = []
         self.generation = 1
 
     def step(self, kind: int, a: int, b: int) -> None:
@@ -46,7 +46,7 @@
         name = "abc"[a % 3]
         match kind:
             case 0 | 1:
-                self.ask(a, b)
+                self.submit(a, b)
             case 2 | 3 | 4:
                 self.answer(a, b)
             case 5 if driver.core.tables.connections:
@@ -64,13 +64,15 @@
                 driver.feed(PrimaryNoticed("g", 1 + b % 4, name))
             case 11:
                 self.generation += 1
-                made = (CONFIGURATION, CONFIGURATION, NO_POOL, NOTHING)[a % 4]
-                driver.feed(ConfigurationArrived(attrs.evolve(made, generation=self.generation)))
+                configuration = (CONFIGURATION, CONFIGURATION, WITHOUT_POOLS, EMPTY)[a % 4]
+                driver.feed(
+                    ConfigurationArrived(attrs.evolve(configuration, generation=self.generation))
+                )
             case _:
                 driver.now += a / 25
                 driver.feed(Tick())
 
-    def ask(self, a: int, b: int) -> None:
+    def submit(self, a: int, b: int) -> None:
         action = (Action.READ, Action.WRITE, Action.BEGIN, Action.COMMIT, Action.ROLLBACK)[a % 5]
         open_names = sorted(self.driver.core.tables.transactions)
         transaction = open_names[b % len(open_names)] if open_names and b % 2 else None
@@ -79,37 +81,37 @@
         if action is Action.BEGIN:
             transaction = None
         fields: dict[str, Any] = {"max_age_ms": (None, 0, 50, 5_000)[b % 4]}
-        key = self.driver.ask(
+        key = self.driver.submit(
             action,
             transaction=transaction,
             repeatable=a % 2 == 0,
             deadline_ms=100 + 100 * b,
             **fields,
         )
-        self.asked.append(key)
+        self.submitted.append(key)
 
     def answer(self, a: int, b: int) -> None:
         sent = self.driver.sent()
         if not sent:
             return
-        one = sent[-1 - a % min(len(sent), 4)]
-        state = self.driver.state(
+        statement = sent[-1 - a % min(len(sent), 4)]
+        state = self.driver.make_report(
             "abc"[b % 3], term=1 + b % 3, position=4 + a, role=list(Role)[a % 2]
         )
-        self.driver.answer(one, state, list(Verdict)[b % 5], result=1)
+        self.driver.answer(statement, state, list(Verdict)[b % 5], result=1)
 
 
 class TestProxyCore:
     @given(steps)
     @settings(derandomize=True, max_examples=300, deadline=None, database=None)
-    def test_every_request_gets_one_answer(self, taken: list[tuple[int, int, int]]) -> None:
+    def test_every_request_gets_one_answer(self, steps_taken: list[tuple[int, int, int]]) -> None:
         fuzz = Fuzz()
-        for kind, a, b in taken:
+        for kind, a, b in steps_taken:
             fuzz.step(kind, a, b)
-        fuzz.driver.now += LONGEST_S
+        fuzz.driver.now += MAX_DEADLINE_S
         fuzz.driver.feed(Tick())
         given_to = Counter(
             output.key for output in fuzz.driver.outputs if isinstance(output, AnswerCaller)
         )
-        assert given_to == Counter(fuzz.asked)
+        assert given_to == Counter(fuzz.submitted)
         assert fuzz.driver.core.tables.requests == {}
--- a/wharftiller/tests/core/test_shares.py
+++ b/wharftiller/tests/core/test_shares.py
@@ -1,4 +1,4 @@
-"""The boxes' connections never pass a server's limit while their lists differ."""
+"""All boxes' connections stay within a server's limit while their lists differ."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wharftiller.core.shares import NEWCOMER_CONNECTIONS, apply_listing, connection_share
+from wharftiller.core.shares import NEW_BOX_CONNECTIONS, apply_box_list, connection_share
 from wharftiller.core.tables import Tables
 
 LAG_S = 10.0
@@ -17,7 +17,7 @@
 
 @attrs.define
 class _Fleet:
-    """Boxes that read a list which shows each change at most ``LAG_S`` late."""
+    """Boxes that read a list with a lag of at most ``LAG_S``."""
 
     random: random.Random
     now: float = 0.0
@@ -25,9 +25,9 @@
     changes: list[tuple[float, frozenset[str]]] = attrs.field(factory=lambda: [(-1e9, frozenset())])
     tables: dict[str, Tables] = attrs.field(factory=dict)
 
-    def replace(self, leaving: str | None) -> None:
-        if leaving is not None:
-            del self.tables[leaving]
+    def replace(self, removed: str | None) -> None:
+        if removed is not None:
+            del self.tables[removed]
         self.serial += 1
         name = f"box-{self.serial}"
         self.tables[name] = Tables(name, self.random, list_lag_s=LAG_S)
@@ -37,7 +37,7 @@
         for table in self.tables.values():
             seen_at = self.now - self.random.uniform(0, LAG_S)
             listed = [names for at, names in self.changes if at <= seen_at][-1]
-            apply_listing(table, tuple(sorted(listed)), self.now)
+            apply_box_list(table, tuple(sorted(listed)), self.now)
 
     def held(self) -> int:
         return sum(connection_share(each, LIMIT) for each in self.tables.values())
@@ -52,40 +52,40 @@
             fleet.replace(None)
         self._run(fleet, 30)
         for _ in range(6):
-            leaving = fleet.random.choice([None, *sorted(fleet.tables)])
-            fleet.replace(leaving)
+            removed = fleet.random.choice([None, *sorted(fleet.tables)])
+            fleet.replace(removed)
             self._run(fleet, fleet.random.randint(21, 30))
 
     def _run(self, fleet: _Fleet, seconds: int) -> None:
         for _ in range(seconds):
             fleet.now += 1
             fleet.read_lists()
-            newcomers = [
+            new_boxes = [
                 each
                 for each in fleet.tables.values()
-                if each.listed_since is None or each.listed_at - each.listed_since < 2 * LAG_S
+                if each.listed_since is None or each.list_read_at - each.listed_since < 2 * LAG_S
             ]
-            if len(newcomers) <= NEWCOMER_CONNECTIONS:
+            if len(new_boxes) <= NEW_BOX_CONNECTIONS:
                 assert fleet.held() <= LIMIT
 
-    def test_newcomer_takes_one_until_every_list_must_show_it(self) -> None:
+    def test_new_box_takes_one_connection_until_every_list_shows_it(self) -> None:
         tables = Tables("a", random.Random(1), list_lag_s=LAG_S)
         for now in range(0, 20):
-            apply_listing(tables, ("a", "b"), float(now))
+            apply_box_list(tables, ("a", "b"), float(now))
             assert connection_share(tables, LIMIT) == 1
-        apply_listing(tables, ("a", "b"), 20.0)
-        assert connection_share(tables, LIMIT) == (LIMIT - NEWCOMER_CONNECTIONS) // 2
+        apply_box_list(tables, ("a", "b"), 20.0)
+        assert connection_share(tables, LIMIT) == (LIMIT - NEW_BOX_CONNECTIONS) // 2
 
-    def test_list_told_again_makes_no_newcomer_established(self) -> None:
+    def test_list_delivered_again_does_not_establish_a_new_box(self) -> None:
         tables = Tables("a", random.Random(1), list_lag_s=LAG_S)
         for _ in range(100):
-            apply_listing(tables, ("a", "b"), 5.0)
+            apply_box_list(tables, ("a", "b"), 5.0)
         assert connection_share(tables, LIMIT) == 1
 
     def test_list_that_cannot_be_read_changes_nothing(self) -> None:
         tables = Tables("a", random.Random(1), list_lag_s=LAG_S)
         for now in range(0, 31):
-            apply_listing(tables, ("a", "b", "c"), float(now))
+            apply_box_list(tables, ("a", "b", "c"), float(now))
         share = connection_share(tables, LIMIT)
-        apply_listing(tables, ("a",), 20.0)
+        apply_box_list(tables, ("a",), 20.0)
         assert connection_share(tables, LIMIT) == share
