--- a/wharftiller/tests/core/test_proxy_fuzz.py
+++ b/wharftiller/tests/core/test_proxy_fuzz.py
@@ -115,3 +115,8 @@
         )
         assert given_to == Counter(fuzz.asked)
         assert fuzz.driver.core.tables.requests == {}
+
+    def test_latest_read_survives_a_primary_that_steps_down(self) -> None:
+        """Guards against a core that raises if the primary answers a latest read as a replica."""
+        fuzz_test = TestProxyCore.test_every_request_gets_one_answer
+        fuzz_test.hypothesis.inner_test(self, [(0, 0, 0), (2, 1, 0)])  # type: ignore[attr-defined]
