--- a/wharftiller/core/admission.py
+++ b/wharftiller/core/admission.py
@@ -25,18 +25,18 @@
     """Return why the configuration does not place ``request`` on a group, or None."""
     configuration = tables.configuration
     if configuration.generation == 0:
-        detail = "this box has no configuration yet; retry shortly or use another box"
+        detail = "this box has no configuration yet; come back shortly or ask another box"
         return Reason(ReasonKind.NO_CONFIGURATION, detail)
     pool = configuration.pools.get(request.pool)
     if pool is None:
         detail = (
-            f"pool {request.pool!r} is not configured; the configured pools are "
+            f"pool {request.pool!r} is not configured; this box knows "
             f"{sorted(configuration.pools)}. Check the spelling, or confirm a plan that creates it"
         )
         return Reason(ReasonKind.UNKNOWN_POOL, detail)
     if request.business not in pool.businesses:
         detail = (
-            f"business {request.business!r} is not placed in pool {request.pool!r}. "
+            f"business {request.business!r} has no place in pool {request.pool!r}. "
             "Confirm a plan that places it on a group"
         )
         return Reason(ReasonKind.UNKNOWN_BUSINESS, detail)
@@ -46,7 +46,7 @@
 def admit(tables: Tables, key: int, request: Request, now: float) -> RequestRow | None:
     """Add ``request`` to its queue, or refuse it and return None."""
     if tables.is_stopping:
-        detail = "this box is stopping; retry, and the load balancer picks another box"
+        detail = "this box is stopping; ask again, the balancer picks another"
         refuse(tables, key, request, Reason(ReasonKind.BOX_STOPPING, detail), 1, now)
         return None
     refusal = placement_refusal(tables, request)
@@ -104,21 +104,21 @@
     queue = group.queues.by_kind[queue_kind]
     bound = rule.bookings if row.is_booking else rule.lookups
     if len(queue) >= bound:
-        detail = f"{len(queue)} requests wait, at most {bound} may; retry after retry_after_ms"
+        detail = f"{len(queue)} requests wait, {bound} may; come back after retry_after_ms"
         return Reason(ReasonKind.QUEUE_FULL, detail)
     business_waiting = queue.count_of(row.request.business)
     business_bound = max(1, int(bound * rule.business_share))
     if business_waiting >= business_bound:
         detail = (
-            f"{business_waiting} requests of this business wait, at most {business_bound} may; "
-            "retry after retry_after_ms"
+            f"{business_waiting} of this business wait, {business_bound} may; "
+            "come back after retry_after_ms"
         )
         return Reason(ReasonKind.BUSINESS_QUEUE_FULL, detail)
     wait_s = _expected_wait_s(tables, group, row, queue_kind)
     if len(queue) and wait_s > DEADLINE_FRACTION * (row.deadline_at - row.arrived_at):
         detail = (
             f"about {wait_s * 1000:.0f} ms are needed, the deadline is "
-            f"{row.request.deadline_ms} ms; retry after retry_after_ms"
+            f"{row.request.deadline_ms} ms; come back after retry_after_ms"
         )
         return Reason(ReasonKind.DEADLINE_OUT_OF_REACH, detail)
     return None
--- a/wharftiller/core/dispatch.py
+++ b/wharftiller/core/dispatch.py
@@ -183,7 +183,7 @@
         return
     detail = (
         f"{remaining_s * 1000:.0f} ms are left, {server.name} takes about "
-        f"{server.likely_service_s * 1000:.0f} ms; retry after retry_after_ms"
+        f"{server.likely_service_s * 1000:.0f} ms; come back after retry_after_ms"
     )
     reason = Reason(ReasonKind.DEADLINE_OUT_OF_REACH, detail, server.name)
     retry_after_ms = answers.jittered(tables, server.likely_service_s * 1000)
--- a/wharftiller/core/lifecycle.py
+++ b/wharftiller/core/lifecycle.py
@@ -91,7 +91,7 @@
         case AnswerCheck.BEHIND:
             _discard_stale_answer(tables, row, answer, now)
         case AnswerCheck.DEPOSED:
-            detail = f"{answer.report.endpoint} no longer leads; its answer is discarded"
+            detail = f"{answer.report.endpoint} no longer leads; its answer is not kept"
             row.add_step(ReasonKind.ANSWER_UNCOVERED, detail, answer.report.endpoint)
             handle_unknown_outcome(tables, row, now)
 
@@ -163,7 +163,7 @@
 
 def _retry(tables: Tables, row: RequestRow, now: float) -> None:
     if tables.retry_tokens < 1:
-        detail = "the retry budget, a tenth of successes, is spent; retry after retry_after_ms"
+        detail = "retries are a tenth of successes and used up; come back after retry_after_ms"
         reason = Reason(ReasonKind.RETRY_BUDGET_SPENT, detail)
         answers.finish_unknown(tables, row, reason, now)
         return
@@ -175,7 +175,7 @@
 def settle(tables: Tables, row: RequestRow, now: float) -> None:
     """Resolve the outcome of a write that may not be sent again from the group's log."""
     if not tables.groups[row.group].spec.capabilities.recorded_ids:
-        detail = f"group {row.group!r} records no request ids, so the outcome cannot be resolved"
+        detail = f"group {row.group!r} records no request ids, so its fate cannot be asked for"
         answers.finish_unknown(tables, row, Reason(ReasonKind.ANSWER_LOST, detail), now)
         return
     row.is_settling = True
@@ -188,7 +188,7 @@
     primary = tables.primary_of(tables.groups[row.group])
     is_silent = primary is None or primary.silent_since is not None
     if row.phase is Phase.QUEUED and row.needs_primary and is_silent:
-        detail = f"no primary of {row.group} answers and {passed}; retry after retry_after_ms"
+        detail = f"no primary of {row.group} answers and {passed}; come back after retry_after_ms"
         return Reason(ReasonKind.NO_PRIMARY, detail, primary.name if primary else None)
     return Reason(ReasonKind.DEADLINE_PASSED, f"{passed} in phase {row.phase.value}")
 
--- a/wharftiller/core/proxy.py
+++ b/wharftiller/core/proxy.py
@@ -205,7 +205,7 @@
             answers.finish_done(self._tables, row, answer, now, provisional=True, transaction=name)
             return
         transactions.reset_connection(self._tables, connection)
-        detail = "this box's connections for transactions are all in use; retry shortly"
+        detail = "this box's connections for transactions are all in use; come back shortly"
         reason = Reason(ReasonKind.QUEUE_FULL, detail)
         retry_after_ms = answers.jittered(self._tables, answers.RETRY_AFTER_UNKNOWN_MS)
         answers.finish_not_run(self._tables, row, reason, retry_after_ms, now)
--- a/wharftiller/core/routing.py
+++ b/wharftiller/core/routing.py
@@ -25,7 +25,7 @@
     """
     name = server.name
     if name in row.tried_replicas:
-        return Reason(ReasonKind.REPLICA_TRIED, f"{name} was tried already", name)
+        return Reason(ReasonKind.REPLICA_TRIED, f"{name} was asked already", name)
     if server.is_leaving:
         return Reason(ReasonKind.ENDPOINT_LEAVING, f"{name} is leaving", name)
     report = server.report
--- a/wharftiller/core/transactions.py
+++ b/wharftiller/core/transactions.py
@@ -24,14 +24,14 @@
     name = request.transaction or ""
     box, _, _ = name.rpartition("/")
     if box != tables.box:
-        detail = f"transaction {name!r} belongs to box {box!r}; begin a new one here"
+        detail = f"transaction {name!r} lives on box {box!r}; begin a new one here"
         return Reason(ReasonKind.TRANSACTION_ELSEWHERE, detail)
     row = tables.transactions.get(name)
     if row is None:
         detail = f"transaction {name!r} is not open; it was rolled back or ended. Begin a new one"
         return Reason(ReasonKind.TRANSACTION_UNKNOWN, detail)
     if (row.pool, row.business) != (request.pool, request.business):
-        detail = f"transaction {name!r} belongs to another business; use one that you began"
+        detail = f"transaction {name!r} is another business's; use one that you began"
         return Reason(ReasonKind.TRANSACTION_FOREIGN, detail)
     if tables.connections[row.connection].request is not None:
         detail = f"transaction {name!r} runs another statement; send one at a time"
