--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -248,7 +248,7 @@
             raise
         self._leave_queue(waiter)
         raise EndpointRefusedError(
-            f"{self.row.name} had no free connection in time",
+            f"{self.row.name} had no free place in time",
             at_limit=True,
             queue_s=self.row.service_s if self._all else None,
         )
@@ -307,7 +307,7 @@
                 link = await self._dialer.open(self.row.entry, self.via, workspace)
         except trio.TooSlowError:
             self.row.failed(started)
-            raise ExchangeError(f"{self.row.name} accepted no connection in time") from None
+            raise ExchangeError(f"{self.row.name} took no connection in time") from None
         except EndpointRefusedError as error:
             self._record_refusal(error)
             if error.at_limit:
--- a/wharftiller/daemons/sessions/forwarding/executor.py
+++ b/wharftiller/daemons/sessions/forwarding/executor.py
@@ -82,7 +82,7 @@
         now = trio.current_time()
         session = self._session(message, now)
         if self._lacks_workspace(message):
-            detail = f"{message.box} sent no workspace, which the route requires; upgrade that box"
+            detail = f"{message.box} told no workspace of it; every box must know workspaces"
             reply = refused(RefusalKind.UNKNOWN_KEY, detail, SessionState.IDLE)
         elif session is None:
             detail = f"{self._state.box} does not know the transaction; it was rolled back"
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -136,7 +136,7 @@
             return await self._begin(routed, transaction)
         gateway = self._directory.boxes.get(remote.box)
         if gateway is None:
-            detail = f"{remote.box}, which ran the transaction, is no longer listed"
+            detail = f"{remote.box}, which ran the transaction, is gone"
             raise StatementRefusedError(RefusalKind.ROLLED_BACK, detail, Cause.BOX_LOST)
         return await self._send_in_transaction(gateway, routed, transaction)
 
@@ -192,7 +192,7 @@
         reply = forwarded.reply
         if begins and _may_try_another(forwarded, routed):
             transaction.wrote = wrote_before
-            raise _NotBegunError(f"{gateway.name} has no lease for the primary now")
+            raise _NotBegunError(f"{gateway.name} may not use the primary now")
         match reply.state:
             case SessionState.IDLE:
                 routed.session.transaction = None
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -107,7 +107,7 @@
                 raise
         if scope.cancelled_caught:
             if link.lost:
-                raise GatewayLostError(f"{gateway.name}, which ran it, stopped responding")
+                raise GatewayLostError(f"{gateway.name}, which ran it, stopped answering")
             raise GatewayLostError(f"{gateway.name} did not answer in time")
         link.last_contact_at = trio.current_time()
         if response.status != 200:
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -91,7 +91,7 @@
                 if trio.current_time() > routed.until - BUSY_RETRY_S:
                     break
                 await trio.sleep(BUSY_RETRY_S)
-            detail = f"{row.name} refused the write"
+            detail = f"{row.name} did not take it"
             raise StatementRefusedError(
                 RefusalKind.NO_CAPACITY, detail, Cause.ENDPOINT_REFUSED, BUSY_RETRY_S
             )
--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -151,7 +151,7 @@
         case Direct() | Commit():
             pass
         case _:
-            detail = "a statement of this kind cannot be sent to an endpoint"
+            detail = "this cannot be sent to an endpoint"
             raise StatementRefusedError(RefusalKind.MALFORMED, detail)
     until = arrived_at + route.timeout_s - MARGIN_S
     return RoutedStatement(session, route, statement, statement.body, needed, arrived_at, until)
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -151,7 +151,7 @@
                 if reply.refusal.kind is RefusalKind.NOT_PRIMARY:
                     await trio.sleep(BUSY_RETRY_S)
         raise StatementRefusedError(
-            RefusalKind.ROLLED_BACK, "no endpoint began the transaction in time", Cause.NO_ANSWER
+            RefusalKind.ROLLED_BACK, "no endpoint began it in time", Cause.NO_ANSWER
         )
 
     async def _execute(self, routed: RoutedStatement, transaction: OpenTransaction) -> Reply:
--- a/wharftiller/edges/callers.py
+++ b/wharftiller/edges/callers.py
@@ -86,11 +86,9 @@
     if body.kind not in _ACTIONS:
         raise BadRequestError(f"kind is {body.kind!r}; use one of {sorted(_ACTIONS)}")
     if body.kind in ("commit", "rollback") and body.transaction is None:
-        raise BadRequestError(
-            f"a {body.kind} needs a transaction; send the one that 'begin' returned"
-        )
+        raise BadRequestError(f"a {body.kind} names no transaction; send the one 'begin' gave")
     if body.kind == "begin" and body.transaction is not None:
-        raise BadRequestError("a begin takes no transaction; transactions do not nest")
+        raise BadRequestError("a begin names a transaction; transactions do not nest")
 
 
 def _to_request(body: CallerStatement, keys: KeyRing) -> Request:
--- a/wharftiller/edges/http_client.py
+++ b/wharftiller/edges/http_client.py
@@ -63,7 +63,7 @@
         try:
             return orjson.loads(self._decompressed_body())
         except (orjson.JSONDecodeError, zlib.error) as error:
-            raise ExchangeError(f"the response is not JSON: {error}. Check the peer") from None
+            raise ExchangeError(f"the answer is not JSON: {error}. Check the peer") from None
 
     def _decompressed_body(self) -> bytes:
         if self.headers.get("content-encoding") != "deflate":
@@ -99,7 +99,7 @@
             await self._stream.send_all(_encode_request(method, path, body, headers or {}))
             return await self._read_answer()
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise ExchangeError(f"the connection was lost during {method} {path}") from error
+            raise ExchangeError(f"the connection broke during {method} {path}") from error
 
     async def _read_answer(self) -> HttpAnswer:
         collector = _ResponseCollector()
@@ -107,13 +107,13 @@
         while not collector.is_complete:
             data = await self._stream.receive_some(READ_BYTES)
             if not data:
-                raise ExchangeError("the peer closed the connection before its response")
+                raise ExchangeError("the peer closed the connection before answering")
             try:
                 parser.feed_data(data)
             except httptools.HttpParserError as error:
-                raise ExchangeError(f"the response is not HTTP/1.1: {error}") from None
+                raise ExchangeError(f"the answer is not HTTP/1.1: {error}") from None
         if collector.has_extra:
-            raise ExchangeError("the peer sent more than one response to a request")
+            raise ExchangeError("the peer sent more than one answer to a request")
         return HttpAnswer(parser.get_status_code(), collector.headers, b"".join(collector.body))
 
     async def aclose(self) -> None:
@@ -241,7 +241,7 @@
             with trio.fail_after(self._connect_timeout_s):
                 return HttpConnection(await self._transport.connect(self._address))
         except trio.TooSlowError:
-            raise NotSentError(f"connecting to {self._address} timed out") from None
+            raise NotSentError(f"{self._address} took no connection in time") from None
         except ExchangeError as error:
             raise NotSentError(str(error)) from error
 
--- a/wharftiller/edges/http_server.py
+++ b/wharftiller/edges/http_server.py
@@ -60,7 +60,7 @@
             return orjson.loads(self.body) if self.body else {}
         except orjson.JSONDecodeError as error:
             raise BadRequestError(
-                f"the body is not JSON: {error}. Send one complete JSON object"
+                f"the body is not JSON: {error}. Send one whole JSON object"
             ) from None
 
 
@@ -148,14 +148,14 @@
         self._head_size += size
         if self._head_size > MAX_HEADER_BYTES:
             raise BodyTooLargeError(
-                f"the request's path and headers exceed {MAX_HEADER_BYTES} bytes. Shorten them"
+                f"the request's head passes {MAX_HEADER_BYTES} bytes. Shorten its path and headers"
             )
 
     def on_body(self, body: bytes) -> None:
         self._body_size += len(body)
         if self._body_size > MAX_BODY_BYTES:
             raise BodyTooLargeError(
-                f"the body exceeds {MAX_BODY_BYTES} bytes. Send less in one request"
+                f"the body passes {MAX_BODY_BYTES} bytes. Send less in one request"
             )
         self._body.append(body)
 
@@ -216,7 +216,7 @@
         requests, self._collector.requests = self._collector.requests, []
         if len(requests) <= MAX_PIPELINED:
             return requests, error
-        message = f"{len(requests)} requests were pipelined; send at most {MAX_PIPELINED} at once"
+        message = f"{len(requests)} requests came at once; pipeline at most {MAX_PIPELINED}"
         return [], BadRequestError(message)
 
 
@@ -244,7 +244,7 @@
     try:
         parser.feed_data(data)
     except httptools.HttpParserUpgrade:
-        return BadRequestError("protocol upgrades are not supported; send HTTP/1.1")
+        return BadRequestError("this server changes no protocols; send HTTP/1.1")
     except httptools.HttpParserError as error:
         if isinstance(error.__context__, WharfError):
             return error.__context__
--- a/wharftiller/platform/endpoints.py
+++ b/wharftiller/platform/endpoints.py
@@ -48,7 +48,7 @@
         try:
             await self._stream.send_all(b"".join(encode_query(query) for query in queries))
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise ExchangeError(f"the connection to the endpoint was lost: {error}") from None
+            raise ExchangeError(f"the connection to the endpoint broke: {error}") from None
         return [await read_reply(self._reader) for _ in queries]
 
     async def status(self) -> EndpointStatus | None:
@@ -104,7 +104,7 @@
         try:
             await stream.send_all(greeting.encode())
         except trio.BrokenResourceError as error:
-            raise ExchangeError(f"{entry.name} reset the new connection: {error}") from None
+            raise ExchangeError(f"{entry.name} broke the new connection: {error}") from None
         line = await reader.line()
         if line is None:
             raise ExchangeError(f"{entry.name} closed the new connection")
--- a/wharftiller/platform/wire.py
+++ b/wharftiller/platform/wire.py
@@ -104,7 +104,7 @@
                 del self._buffer[: end + 2]
                 return line
             if len(self._buffer) > MAX_LINE_BYTES:
-                raise BodyTooLargeError(f"a line exceeds {MAX_LINE_BYTES} bytes; send less at once")
+                raise BodyTooLargeError(f"a line passes {MAX_LINE_BYTES} bytes; send less at once")
             searched = max(0, len(self._buffer) - 1)
             try:
                 data = await self._stream.receive_some(READ_BYTES)
@@ -157,7 +157,7 @@
     except ValueError:
         raise BadRequestError("send QUERY, an id and a text") from None
     if verb != "QUERY":
-        raise BadRequestError(f"{verb[:20]} is unknown; send QUERY or RELEASE")
+        raise BadRequestError(f"{verb[:20]} is not known here; send QUERY or RELEASE")
     return Statement(request_id, text, _parse_body(text))
 
 
@@ -184,7 +184,7 @@
         case ["DEALLOC", name]:
             return Deallocate(name)
         case _:
-            raise BadRequestError("the text is not a statement of this protocol")
+            raise BadRequestError("the text is no statement of this protocol")
 
 
 def encode_query(query: EndpointQuery) -> bytes:
@@ -247,9 +247,7 @@
                 state, position = _parse_ready(decode(rest))
                 return Reply(state, tuple(rows), proof, refusal, position)
             case _:
-                raise ExchangeError(
-                    f"the endpoint sent {line[:40]!r}, which is not part of a reply"
-                )
+                raise ExchangeError(f"the endpoint said {line[:40]!r}, which is no answer")
 
 
 def parse_refusal(rest: str) -> Refusal:
@@ -263,9 +261,7 @@
     try:
         return SESSION_STATES[state], parse_position(position or ABSENT)
     except (KeyError, ValueError):
-        raise ExchangeError(
-            f"the endpoint sent READY {rest[:40]!r}, which has no valid state and position"
-        ) from None
+        raise ExchangeError(f"the endpoint is ready in {rest[:40]!r}, which is no state") from None
 
 
 def encode_reply(reply: Reply) -> bytes:
