--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -96,17 +96,13 @@
         """Handle one request."""
         handler = self._handlers.get((request.method, request.path))
         if handler is None:
-            raise UnknownPathError(
-                f"no handler for {request.method} {request.path}; expected a request under /peer/"
-            )
+            raise UnknownPathError(f"no {request.method} {request.path}; boxes ask under /peer/")
         compressed = request.path == STATE_PATH
         return HttpResponse(200, await handler(request.json()), compressed=compressed)
 
     async def _handle_renewal(self, request: Any) -> dict[str, Any]:
         if not isinstance(request, dict) or not isinstance(request.get("revision"), int):
-            raise BadRequestError(
-                "lease renewal without an integer 'revision'; run one version on all boxes"
-            )
+            raise BadRequestError("a round's question names its revision; run one version")
         state = self._state
         self._tombstones.record_renewal(str(request.get("box")))
         endpoints = request.get("check") or ()
@@ -134,9 +130,7 @@
     async def _handle_leaving(self, value: Any) -> dict[str, Any]:
         """Forward nothing new to a box that is stopping."""
         if not isinstance(value, dict) or not isinstance(value.get("box"), str):
-            raise BadRequestError(
-                "leaving notification without a 'box' name; run one version on all boxes"
-            )
+            raise BadRequestError("a leaving box names itself; run one version")
         await self._gateway_client.leave(value["box"], self._grace_s + BOX_START_S)
         return {}
 
@@ -160,9 +154,7 @@
         try:
             record = record_from_json(value["record"], value["revision"])
         except (KeyError, TypeError) as error:
-            raise BadRequestError(
-                f"no valid record: {error!r}; run one version on all boxes"
-            ) from None
+            raise BadRequestError(f"no record was told: {error!r}; run one version") from None
         if self._state.leases.adopt(record):
             self._state.log.change("record_adopted", revision=record.revision, source="box")
             self._state.check_soon.set()
--- a/wharftiller/daemons/sessions/membership/peer_sync.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -119,9 +119,7 @@
         try:
             requester = StateVersions.from_json(request["knows"])
         except (KeyError, TypeError, ValueError) as error:
-            raise BadRequestError(
-                f"no valid state versions: {error!r}; run one version on all boxes"
-            ) from None
+            raise BadRequestError(f"no knowledge was told: {error!r}; run one version") from None
         own = self._state.knowledge
         rows = self._state.endpoints.rows.values()
         return {
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -130,9 +130,7 @@
             name, incarnation = str(request["box"]), str(request["incarnation"])
             revision, list_revision = int(request["revision"]), int(request["list_revision"])
         except (KeyError, TypeError, ValueError) as error:
-            raise BadRequestError(
-                f"malformed request to a reader: {error!r}; run one version on all boxes"
-            ) from None
+            raise BadRequestError(f"no question to a reader: {error!r}; run one version") from None
         now = trio.current_time()
         self.asked_at[name] = now
         snapshot = self._last.snapshot
--- a/wharftiller/edges/allowances_json.py
+++ b/wharftiller/edges/allowances_json.py
@@ -53,11 +53,9 @@
         workspace = workspace_from_json(value["workspace"])
         wanted, unused = int(value["wanted"]), int(value["unused"])
     except (KeyError, TypeError, ValueError) as error:
-        raise BadRequestError(
-            f"invalid request for tokens: {error!r}; run the same version on all boxes"
-        ) from None
+        raise BadRequestError(f"no tokens are asked for: {error!r}; run one version") from None
     if workspace is None or wanted < 1 or unused < 0:
-        raise BadRequestError("a request for tokens needs a workspace, wanted >= 1 and unused >= 0")
+        raise BadRequestError("a question for tokens names a workspace and how many it wants")
     return TokenRequest(workspace, min(wanted, MAX_PREFETCHED), min(unused, MAX_PREFETCHED))
 
 
@@ -100,13 +98,9 @@
             str(value["borrower"]), str(value["keeper"]), held, value["more"] is True
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise BadRequestError(
-            f"invalid request for a loan: {error!r}; run the same version on all boxes"
-        ) from None
+        raise BadRequestError(f"no loan is asked for: {error!r}; run one version") from None
     if workspace is None or not 0 <= held < MAX_LENT:
-        raise BadRequestError(
-            "a request for a loan needs a workspace, and held from 0 to below 1e12"
-        )
+        raise BadRequestError("a question for a loan names a workspace and what is held of it")
     return workspace, request
 
 
--- a/wharftiller/edges/forwarded_json.py
+++ b/wharftiller/edges/forwarded_json.py
@@ -147,7 +147,7 @@
         case ["own_writes", max_age_s]:
             consistency = OwnWritesReads(float(max_age_s))
         case other:
-            raise ValueError(f"unknown consistency {other!r}")
+            raise ValueError(f"{other!r} is no kind of reading")
     return Route(
         name=str(value["name"]),
         database=str(value["database"]),
@@ -192,7 +192,7 @@
         case Commit():
             return ["commit"]
         case _:
-            raise BadRequestError(f"{body!r} is not forwarded; the box that received it runs it")
+            raise BadRequestError(f"{body!r} is answered by the box that got it")
 
 
 def _body_from_json(value: Any) -> ForwardedBody:
@@ -204,7 +204,7 @@
         case ["commit"]:
             return Commit()
         case _:
-            raise ValueError(f"{value!r} is not a forwarded statement")
+            raise ValueError(f"{value!r} is no statement that is passed on")
 
 
 def statement_to_json(forwarded: ForwardedStatement) -> dict[str, Any]:
@@ -259,9 +259,7 @@
             unsettled=value["unsettled"] is True,
         )
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BadRequestError(
-            f"invalid statement: {error!r}; run the same version on all boxes"
-        ) from None
+        raise BadRequestError(f"no statement to run: {error!r}; run one version") from None
 
 
 def reply_to_json(forwarded: ForwardedReply) -> dict[str, Any]:
@@ -305,9 +303,7 @@
         lacks_lease = value["lacks_lease"] is True
         return ForwardedReply(reply, own_write, value["unsettled"] is True, is_usable, lacks_lease)
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BadRequestError(
-            f"invalid reply to a statement: {error!r}; run the same version on all boxes"
-        ) from None
+        raise BadRequestError(f"no reply to a statement: {error!r}; run one version") from None
 
 
 def _refusal_to_json(refusal: Refusal) -> list[str | None]:
--- a/wharftiller/edges/leadership_json.py
+++ b/wharftiller/edges/leadership_json.py
@@ -66,7 +66,7 @@
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise BadRequestError(
-            f"invalid leadership record: {error!r}. Delete the object; the boxes create it again"
+            f"no record of leadership: {error!r}. Delete the object; boxes write it anew"
         ) from None
 
 
