--- a/wharftiller/daemons/sessions/gauges.py
+++ b/wharftiller/daemons/sessions/gauges.py
@@ -23,31 +23,29 @@
 ) -> Iterator[Gauge]:
     """Yield every gauge."""
     now = trio.current_time()
-    yield _plain("configuration_version", "Version of the configuration in force.", state.version)
+    yield _plain("configuration_version", "Version in force.", state.version)
     yield _plain(
         "endpoints_revision",
-        "Platform revision of the list of endpoints.",
+        "Platform revision of the endpoints known.",
         state.endpoints.revision,
     )
-    yield _plain("sessions", "Open callers' connections.", len(admission))
+    yield _plain("sessions", "Callers' connections open.", len(admission))
+    yield _plain("sessions_room", "Callers' connections that can be taken.", admission.room)
+    yield _plain("buckets_kept", "Workspaces whose tokens this box grants.", buckets)
     yield _plain(
-        "sessions_room", "Further callers' connections that can be accepted.", admission.room
+        "record_revision", "Revision of the record of leadership.", state.leases.record.revision
     )
-    yield _plain("buckets_kept", "Workspaces whose token buckets this box serves.", buckets)
-    yield _plain(
-        "record_revision", "Revision of the leadership record.", state.leases.record.revision
-    )
-    yield _plain("record_fence", "Fence of the last failover.", state.leases.record.fence)
+    yield _plain("record_fence", "Fence of the last change of primary.", state.leases.record.fence)
     yield _plain("boxes_listed", "Other boxes listed.", len(directory.boxes))
     yield _plain(
         "boxes_answering",
-        "Other boxes that answered the last lease renewal.",
+        "Other boxes that answered the last round.",
         len(directory.replies),
     )
     read_age_s = now - directory.platform_read_at
     yield _plain(
         "platform_read_age_seconds",
-        "Age of the newest platform read by any box, in seconds.",
+        "Age of the newest read of the platform by any box.",
         read_age_s,
     )
     yield from _by_group(state, now)
@@ -71,19 +69,15 @@
         newest = state.positions.of_group(group).newest
         if newest is not None:
             ages.append(((group,), now - newest.at))
-    yield Gauge(
-        "primary", "The recorded primary of each group.", ("group", "endpoint", "state"), leaders
-    )
-    yield Gauge("term", "Term of the primary in its lease.", ("group",), terms)
+    yield Gauge("primary", "The primary believed in.", ("group", "endpoint", "state"), leaders)
+    yield Gauge("term", "Its term when it was recorded.", ("group",), terms)
     yield Gauge(
         "lease_left_seconds",
-        "Remaining time of the primary's lease, in seconds.",
+        "Time for which it may be used.",
         ("group",),
         remaining,
     )
-    yield Gauge(
-        "point_age_seconds", "Age of the newest known log position, in seconds.", ("group",), ages
-    )
+    yield Gauge("point_age_seconds", "Age of the newest known log position.", ("group",), ages)
 
 
 def _by_endpoint(state: SharedState, now: float) -> Iterator[Gauge]:
@@ -96,14 +90,12 @@
         used.append(((name,), float(pool.in_use)))
         suspect.append(((name,), float(row.is_suspect(now))))
         service.append(((name,), row.service_s))
-    yield Gauge("connections", "Open and opening connections.", ("endpoint",), open_)
-    yield Gauge(
-        "connections_wanted", "Connections in use plus waiting statements.", ("endpoint",), used
-    )
+    yield Gauge("connections", "Connections open or opening.", ("endpoint",), open_)
+    yield Gauge("connections_wanted", "Connections in use, and waiters.", ("endpoint",), used)
     yield Gauge(
         "endpoint_suspect",
-        "Whether the endpoint is suspected to be unresponsive.",
+        "Whether it is silent.",
         ("endpoint",),
         suspect,
     )
-    yield Gauge("service_seconds", "Smoothed service time, in seconds.", ("endpoint",), service)
+    yield Gauge("service_seconds", "Smoothed service time.", ("endpoint",), service)
--- a/wharftiller/edges/metrics_page.py
+++ b/wharftiller/edges/metrics_page.py
@@ -71,7 +71,7 @@
         yield answers
         statements = CounterMetricFamily(
             f"{PREFIX}_endpoint_statements",
-            "Statements sent to endpoints, by outcome.",
+            "Statements sent to endpoints, by what came of them.",
             labels=("endpoint", "outcome"),
         )
         for pair, count in self._metrics.statements.items():
@@ -79,7 +79,7 @@
         yield statements
         forwarded = CounterMetricFamily(
             f"{PREFIX}_forwarded_statements",
-            "Statements forwarded to a group's gateway box, by outcome.",
+            "Statements passed to a group's home box, by what came of them.",
             labels=("home", "outcome"),
         )
         for pair, count in self._metrics.forwarded.items():
@@ -87,7 +87,7 @@
         yield forwarded
         allowances = CounterMetricFamily(
             f"{PREFIX}_allowances",
-            "Token requests for workspaces' allowances, by outcome.",
+            "Questions for tokens of workspaces' allowances, by what came of them.",
             labels=("outcome",),
         )
         for outcome, count in self._metrics.allowances.items():
@@ -95,7 +95,7 @@
         yield allowances
         admissions = CounterMetricFamily(
             f"{PREFIX}_doors",
-            "Callers' connections, by outcome of admission.",
+            "Callers' connections, by what came of them at the door.",
             labels=("outcome",),
         )
         for outcome, count in self._metrics.doors.items():
@@ -104,7 +104,7 @@
         yield from self._connections()
         events = CounterMetricFamily(
             f"{PREFIX}_events",
-            "Events, including those suppressed in the log.",
+            "Logged events, those left out of the log included.",
             labels=("event",),
         )
         for event, count in self._metrics.events.items():
@@ -119,7 +119,7 @@
         )
         replaced = CounterMetricFamily(
             f"{PREFIX}_connections_replaced",
-            "Idle connections closed to open one for another workspace.",
+            "Idle connections closed for another workspace's.",
             labels=("endpoint",),
         )
         for endpoint, counts in self._metrics.connections.items():
