--- a/wharftiller/daemons/admin.py
+++ b/wharftiller/daemons/admin.py
@@ -318,7 +318,7 @@
 def _warnings(intent: Intent) -> list[str]:
     match intent:
         case DrainEndpoint():
-            return ["the group is left with two servers; if one more fails, its writes stop"]
+            return ["the group goes on with two servers; a failure then stops its writes"]
         case ChangePrimary():
             return ["transactions that outlast their length limit are rolled back"]
         case _:
