--- a/benchmarks/sessions/policies.py
+++ b/benchmarks/sessions/policies.py
@@ -31,7 +31,7 @@
     "extras_close": Policy(f"{SHELL}.connections.pool", "EXTRA_IDLE_S", 4.0),
     "kept_half": Policy(f"{CORE}.sessions.shares", "KEPT_DIVISOR", 1),
     "near_reads": Policy(f"{CORE}.sessions.routing", "DISTANCE_COST", 0.0),
-    "lead_spared": Policy(f"{CORE}.sessions.routing", "LEAD_COST", 0.0),
+    "lead_spared": Policy(f"{CORE}.sessions.routing", "PRIMARY_COST", 0.0),
     "hold_for_primary": Policy(f"{SHELL}.serving.endpoint_selection", "HOLD_FOR_PRIMARY_S", 0.0),
     "patience": Policy(f"{SHELL}.serving.autocommit", "READ_TIMEOUT_FRACTION", 1.0),
     "concurrency": Policy(f"{CORE}.sessions.concurrency", "DECREASE", 1.0),
--- a/wharftiller/core/sessions/concurrency.py
+++ b/wharftiller/core/sessions/concurrency.py
@@ -32,7 +32,7 @@
     _limit: float = float("inf")
     _decreased_at: float = float("-inf")
 
-    def places(self, maximum: int) -> int:
+    def max_running(self, maximum: int) -> int:
         """Return how many statements may run at once, at most ``maximum``.
 
         The limit is rounded up: rounded down, gateways that share few slots would leave some
@@ -40,13 +40,13 @@
         """
         return min(maximum, math.ceil(min(self._limit, maximum)))
 
-    def busy(self, running: int, now: float) -> None:
+    def decrease(self, running: int, now: float) -> None:
         """Lower the limit after a refusal while ``running`` statements of this box ran."""
         if now - self._decreased_at < DECREASE_PAUSE_S:
             return
         self._decreased_at = now
         self._limit = max(MIN_LIMIT, min(self._limit, running) * DECREASE)
 
-    def answered(self) -> None:
+    def increase(self) -> None:
         """Raise the limit after an answer."""
         self._limit += INCREASE
--- a/wharftiller/core/sessions/connection_limits.py
+++ b/wharftiller/core/sessions/connection_limits.py
@@ -137,7 +137,7 @@
         """Number of callers' connections that the box can hold."""
         return self._room
 
-    def note_own(self, own: int) -> None:
+    def set_own_connections(self, own: int) -> None:
         """Record the number of the box's own connections."""
         self._room = room_for_callers(self._limits, own)
 
@@ -153,27 +153,27 @@
         """Whether no further connection can be accepted."""
         return len(self) >= self.room
 
-    def came(self, caller: CallerConnection, now: float) -> None:
+    def add_handshake(self, caller: CallerConnection, now: float) -> None:
         """Record a new connection, which has named no database yet."""
         self._handshaking[caller] = now
 
-    def rests(self, caller: CallerConnection, now: float) -> None:
+    def set_idle(self, caller: CallerConnection, now: float) -> None:
         """Record that a connection is idle, outside any transaction."""
-        self.left(caller)
+        self.remove(caller)
         self._idle[caller] = now
 
-    def works(self, caller: CallerConnection) -> None:
+    def set_busy(self, caller: CallerConnection) -> None:
         """Record that a connection has a statement under way or an open transaction."""
-        self.left(caller)
+        self.remove(caller)
         self._busy.add(caller)
 
-    def left(self, caller: CallerConnection) -> None:
+    def remove(self, caller: CallerConnection) -> None:
         """Remove a connection."""
         self._handshaking.pop(caller, None)
         self._idle.pop(caller, None)
         self._busy.discard(caller)
 
-    def who_leaves(self, now: float) -> CallerConnection | None:
+    def connection_to_close(self, now: float) -> CallerConnection | None:
         """Return the connection to close in favour of a new one; None if there is none.
 
         The oldest handshake comes first, then the session that has been idle longest: its
--- a/wharftiller/core/sessions/endpoints.py
+++ b/wharftiller/core/sessions/endpoints.py
@@ -105,7 +105,7 @@
             return False
         return self.leaving_since is not None or now - self.missing_since >= MISSING_GONE_S
 
-    def take_entry(self, entry: EndpointEntry) -> bool:
+    def update_entry(self, entry: EndpointEntry) -> bool:
         """Replace its entry; return whether its process was restarted since the last one."""
         before, self.entry = self.entry, entry
         if None in (before.started_ms, entry.started_ms) or before.started_ms == entry.started_ms:
@@ -117,26 +117,31 @@
         self.service_s = FIRST_SERVICE_S
         return True
 
-    def sent(self, connection: int, now: float) -> None:
+    def record_sent(self, connection: int, now: float) -> None:
         """Record that a reply is outstanding on ``connection``."""
         self.outstanding[connection] = now
 
-    def answered(
-        self, connection: int, now: float, position: LogPosition | None, *, works: bool = True
+    def record_reply(
+        self,
+        connection: int,
+        now: float,
+        position: LogPosition | None,
+        *,
+        is_statement: bool = True,
     ) -> None:
         """Record a reply and the log position that it carried.
 
         Parameters
         ----------
-        works : bool
+        is_statement : bool
             Whether it answers a caller's statement and so counts for the service time.
         """
         sent_at = self.outstanding.pop(connection, None)
-        self.heard(now, position)
-        if sent_at is not None and works:
+        self.record_contact(now, position)
+        if sent_at is not None and is_statement:
             self.service_s += SERVICE_WEIGHT * (now - sent_at - self.service_s)
 
-    def heard(self, now: float, position: LogPosition | None = None) -> None:
+    def record_contact(self, now: float, position: LogPosition | None = None) -> None:
         """Record a contact and the log position that came with it."""
         self.last_contact_at = now
         self.unreachable_since = None
@@ -144,18 +149,18 @@
             self.position = position
             self.position_at = now
 
-    def given_up(self, connection: int, now: float) -> None:
+    def record_timeout(self, connection: int, now: float) -> None:
         """Record that an outstanding reply was lost or timed out."""
         sent_at = self.outstanding.pop(connection, now)
         if self.last_contact_at <= sent_at:
-            self.failed(sent_at)
+            self.record_unreachable(sent_at)
 
-    def failed(self, since: float) -> None:
+    def record_unreachable(self, since: float) -> None:
         """Record that it has been unreachable since ``since`` (seconds)."""
         if self.unreachable_since is None:
             self.unreachable_since = since
 
-    def refused_as_behind(self, position: LogPosition, now: float) -> None:
+    def record_behind(self, position: LogPosition, now: float) -> None:
         """Record a refusal because its log lacked ``position``."""
         self.behind = position
         self.behind_at = now
--- a/wharftiller/core/sessions/isolation.py
+++ b/wharftiller/core/sessions/isolation.py
@@ -24,7 +24,7 @@
 At most one side of a partition lacks more than half of them.
 """
 
-BALANCER_SEES_S = 2.3
+BALANCER_REACTION_S = 2.3
 """Time until the balancer has removed an unready box, in seconds: two failed health checks, 1 s
 apart."""
 
@@ -122,7 +122,7 @@
     has_expired: bool = False
     has_shed: bool = False
 
-    def centres_to_ask(self, inputs: IsolationInputs) -> frozenset[str]:
+    def centres_to_probe(self, inputs: IsolationInputs) -> frozenset[str]:
         """Return the data centres to probe before `decide`."""
         if self.since is not None:
             return inputs.elsewhere
@@ -153,7 +153,7 @@
             self.has_expired = is_still_silent
             self.since = None
             return End()
-        if self.has_shed or inputs.now - since < BALANCER_SEES_S:
+        if self.has_shed or inputs.now - since < BALANCER_REACTION_S:
             return Unchanged()
         self.has_shed = True
         return ShedSessions(inputs.unusable)
--- a/wharftiller/core/sessions/retry_after.py
+++ b/wharftiller/core/sessions/retry_after.py
@@ -83,29 +83,29 @@
         return Cause.NO_LEASE if self.silent_s is None else Cause.PRIMARY_SILENT
 
 
-def primary_retry_after_s(availability: PrimaryAvailability, change_s: float) -> float:
+def primary_retry_after_s(availability: PrimaryAvailability, usual_failover_s: float) -> float:
     """Return the expected time until a primary can be used again, in seconds.
 
     Parameters
     ----------
-    change_s : float
+    usual_failover_s : float
         Usual duration of a failover, from its record to the next, in seconds.
     """
     if availability.failover_s is not None:
-        left_s = change_s - availability.failover_s
+        left_s = usual_failover_s - availability.failover_s
         # A failover that waits for unresponsive boxes ends when their leases expire.
         return (
             left_s if availability.is_certain or left_s > 0 else LEASE_S - availability.failover_s
         )
     if availability.unverified_s is not None:
-        if availability.unverified_s < ORDERS_EFFECT_S + change_s:
-            return ORDERS_EFFECT_S + change_s - availability.unverified_s
-        return max(SHORT_RETRY_AFTER_S, UNSETTLED_S + change_s - availability.unverified_s)
+        if availability.unverified_s < ORDERS_EFFECT_S + usual_failover_s:
+            return ORDERS_EFFECT_S + usual_failover_s - availability.unverified_s
+        return max(SHORT_RETRY_AFTER_S, UNSETTLED_S + usual_failover_s - availability.unverified_s)
     if availability.silent_s is None:
         return SHORT_RETRY_AFTER_S
-    if availability.silent_s < UNREACHABLE_S + change_s:
-        return UNREACHABLE_S + change_s - availability.silent_s
-    return UNREACHABLE_BEHIND_CUT_S + LEASE_S + change_s - availability.silent_s
+    if availability.silent_s < UNREACHABLE_S + usual_failover_s:
+        return UNREACHABLE_S + usual_failover_s - availability.silent_s
+    return UNREACHABLE_BEHIND_CUT_S + LEASE_S + usual_failover_s - availability.silent_s
 
 
 def queue_retry_after_s(queue_s: float) -> float:
--- a/wharftiller/core/sessions/revisions.py
+++ b/wharftiller/core/sessions/revisions.py
@@ -34,13 +34,13 @@
         self._listed_at = 0
         self._removed = 0
 
-    def saw(self, revisions: Iterable[int]) -> None:
+    def record_seen(self, revisions: Iterable[int]) -> None:
         """Record the revisions of objects that were read or delivered by a watch."""
         self._seen.update(revision for revision in revisions if revision > self.settled)
 
-    def listed(self, entries: Mapping[str, int], revision: int) -> None:
+    def record_list(self, entries: Mapping[str, int], revision: int) -> None:
         """Record the revision of every box's entry, as read at ``revision``."""
-        self.saw(entries.values())
+        self.record_seen(entries.values())
         if self._listed_at >= self.settled:
             # Removed since the last list, which is not older than the settled revision.
             self._removed += len(self._entries.keys() - entries.keys())
--- a/wharftiller/core/sessions/routing.py
+++ b/wharftiller/core/sessions/routing.py
@@ -31,7 +31,7 @@
 POSITION_RECENT_S = 0.1
 """Time for which a reported log position is taken as the current one, in seconds."""
 
-LEAD_COST = 2.0
+PRIMARY_COST = 2.0
 """Load added to the primary, in statements, because it alone serves writes.
 
 More than `DISTANCE_COST`, so that reads prefer an idle replica in another data centre to a
@@ -111,7 +111,9 @@
     def cost(row: EndpointRow) -> tuple[float, bool, bool]:
         is_primary = row.name == primary
         is_far = row.entry.data_centre != data_centre
-        statements = load.get(row.name, 0) + 1.0 + LEAD_COST * is_primary + DISTANCE_COST * is_far
+        statements = (
+            load.get(row.name, 0) + 1.0 + PRIMARY_COST * is_primary + DISTANCE_COST * is_far
+        )
         statements += OPENING_COST * (row.name not in connected)
         return statements * row.service_s, is_far, is_primary
 
--- a/wharftiller/core/sessions/wait_limits.py
+++ b/wharftiller/core/sessions/wait_limits.py
@@ -27,13 +27,13 @@
 
     Attributes
     ----------
-    begun_until : float
+    admit_until : float
         The statement is queued only if it is expected to run by this time, in seconds.
     until : float
         Time at which a queued statement times out, in seconds.
     """
 
-    begun_until: float
+    admit_until: float
     until: float
 
 
@@ -45,6 +45,6 @@
     goal_s : float
         Its route's latency goal, in seconds.
     """
-    begun_until = max(arrived_at + QUEUED_FRACTION * goal_s, now + LATE_FRACTION * goal_s)
+    admit_until = max(arrived_at + QUEUED_FRACTION * goal_s, now + LATE_FRACTION * goal_s)
     # The wait may take longer than expected; a statement is not refused shortly before it runs.
-    return WaitLimit(begun_until, max(arrived_at + goal_s, begun_until))
+    return WaitLimit(admit_until, max(arrived_at + goal_s, admit_until))
--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -108,13 +108,13 @@
 
     def note_busy(self) -> None:
         """Lower the concurrency limit after the endpoint was too busy for a statement."""
-        self._limit.busy(self._running, trio.current_time())
+        self._limit.decrease(self._running, trio.current_time())
 
     def record_answer(self) -> None:
         """Record an answer; wake the next waiter if the concurrency limit rose."""
-        before = self._limit.places(self.share() + EXTRA_CONNECTIONS)
-        self._limit.answered()
-        if self._limit.places(self.share() + EXTRA_CONNECTIONS) > before:
+        before = self._limit.max_running(self.share() + EXTRA_CONNECTIONS)
+        self._limit.increase()
+        if self._limit.max_running(self.share() + EXTRA_CONNECTIONS) > before:
             self.wake_next()
 
     async def acquire(
@@ -161,7 +161,7 @@
         has_waited = False
         while True:
             self._drop_closed()
-            if self._running >= self._limit.places(self.share() + EXTRA_CONNECTIONS):
+            if self._running >= self._limit.max_running(self.share() + EXTRA_CONNECTIONS):
                 await self._wait(key, limit, has_waited=has_waited)
                 has_waited = True
                 continue
@@ -212,8 +212,8 @@
 
     def _expected_wait_s(self, key: QueueKey) -> float:
         """Return the minimum time until the statement with ``key`` may run, in seconds."""
-        places = max(1, self._limit.places(self.share() + EXTRA_CONNECTIONS))
-        queue_s = (self._queue.count_ahead(key) + 1) * self.row.service_s / places
+        max_running = max(1, self._limit.max_running(self.share() + EXTRA_CONNECTIONS))
+        queue_s = (self._queue.count_ahead(key) + 1) * self.row.service_s / max_running
         if self._all:
             return queue_s
         return queue_s + max(0.0, self._refused_until - trio.current_time())
@@ -232,7 +232,7 @@
             If no connection is free in time, or the expected wait is too long.
         """
         expected_s = self._expected_wait_s(key)
-        deadline = limit.until if has_waited else limit.begun_until
+        deadline = limit.until if has_waited else limit.admit_until
         if trio.current_time() + expected_s > deadline:
             detail = f"the queue for {self.row.name} takes {expected_s:.2f} s"
             raise EndpointRefusedError(
@@ -306,7 +306,7 @@
             with trio.fail_after(OPEN_TIMEOUT_S):
                 link = await self._dialer.open(self.row.entry, self.via, workspace)
         except trio.TooSlowError:
-            self.row.failed(started)
+            self.row.record_unreachable(started)
             raise ExchangeError(f"{self.row.name} accepted no connection in time") from None
         except EndpointRefusedError as error:
             self._record_refusal(error)
@@ -314,19 +314,19 @@
                 return None
             raise
         except ExchangeError:
-            self.row.failed(started)
+            self.row.record_unreachable(started)
             raise
-        self.row.heard(trio.current_time())
+        self.row.record_contact(trio.current_time())
         return link
 
     def _record_refusal(self, error: EndpointRefusedError) -> None:
         if error.at_limit:
             self._refused_until = trio.current_time() + REFUSED_PAUSE_S
             # A refusal is an answer: the endpoint is full, not unresponsive.
-            self.row.heard(trio.current_time())
+            self.row.record_contact(trio.current_time())
         else:
             self.row.gone = True
-            self.row.failed(trio.current_time())
+            self.row.record_unreachable(trio.current_time())
 
     def release(self, connection: PooledConnection) -> None:
         """Return a connection to the pool; a broken one is closed."""
--- a/wharftiller/daemons/sessions/connections/pooled_connection.py
+++ b/wharftiller/daemons/sessions/connections/pooled_connection.py
@@ -150,7 +150,7 @@
     async def _exchange(self, queries: list[EndpointQuery]) -> list[Reply]:
         """Send ``queries`` in one write and return their replies."""
         row = self.pool.row
-        row.sent(self.number, trio.current_time())
+        row.record_sent(self.number, trio.current_time())
         has_replies = False
         self.is_busy = True
         try:
@@ -161,10 +161,12 @@
             self.pool.wake_next()
             if not has_replies:
                 self.broken = True
-                row.given_up(self.number, trio.current_time())
+                row.record_timeout(self.number, trio.current_time())
         # Setup statements use no slot of the endpoint: their times are not service times.
-        works = queries[-1].statement is not None
-        row.answered(self.number, trio.current_time(), replies[-1].position, works=works)
+        is_statement = queries[-1].statement is not None
+        row.record_reply(
+            self.number, trio.current_time(), replies[-1].position, is_statement=is_statement
+        )
         return replies
 
     def close(self) -> None:
--- a/wharftiller/daemons/sessions/connections/probes.py
+++ b/wharftiller/daemons/sessions/connections/probes.py
@@ -165,9 +165,9 @@
                 # The idle connection may be stale: retry once on a new one.
                 pool.drop_idle()
                 status = await self._fetch_status(row)
-            row.heard(trio.current_time())
+            row.record_contact(trio.current_time())
             return status
-        row.failed(started)
+        row.record_unreachable(started)
         pool.drop_idle()
         raise ExchangeError(f"{row.name} reported no state within {STATUS_TIMEOUT_S} s")
 
@@ -179,7 +179,7 @@
             status = await connection.link.status()
         except BaseException:
             connection.close()
-            row.failed(started)
+            row.record_unreachable(started)
             raise
         connection.release()
         return status
--- a/wharftiller/daemons/sessions/endpoint_table.py
+++ b/wharftiller/daemons/sessions/endpoint_table.py
@@ -101,7 +101,7 @@
             self.pools[name] = pool
             self._metrics.connections[name] = pool.counts
             self._log.change("endpoint_found", endpoint=name, group=entry.group, leads=entry.leads)
-        if row.take_entry(entry):
+        if row.update_entry(entry):
             self._log.change("endpoint_started_again", endpoint=name, group=entry.group)
             self.pools[name].drop_idle()
         row.gone = False
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -219,7 +219,7 @@
         if not accepted:
             row = self._state.endpoints.rows.get(failover.successor)
             if row is not None:
-                row.failed(trio.current_time())
+                row.record_unreachable(trio.current_time())
             await trio.sleep(RETRY_S)
         return accepted
 
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -50,7 +50,7 @@
 
     async def _check(self) -> None:
         inputs = self._inputs()
-        to_probe = self._isolation.centres_to_ask(inputs)
+        to_probe = self._isolation.centres_to_probe(inputs)
         if to_probe:
             silent = await self._silent_among(to_probe)
             inputs = attrs.evolve(self._inputs(), silent=silent)
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -77,21 +77,21 @@
     def enter(self) -> CallerConnection | None:
         """Accept a connection, shedding an idle one if needed; None if the box is full."""
         now = trio.current_time()
-        self._limiter.note_own(self._open_streams())
+        self._limiter.set_own_connections(self._open_streams())
         if self._limiter.is_full and not self._make_room(now):
             self._refused += 1
             self._state.metrics.doors["refused"] += 1
             return None
         caller = CallerConnection()
-        self._limiter.came(caller, now)
+        self._limiter.add_handshake(caller, now)
         self._state.metrics.doors["taken"] += 1
         return caller
 
     def _make_room(self, now: float) -> bool:
-        closing = self._limiter.who_leaves(now)
+        closing = self._limiter.connection_to_close(now)
         if closing is None:
             return False
-        self._limiter.left(closing)
+        self._limiter.remove(closing)
         closing.send_away()
         self._shed += 1
         self._state.metrics.doors["sent_away"] += 1
@@ -103,19 +103,19 @@
 
     def mark_idle(self, caller: CallerConnection) -> None:
         """Record that a session waits for its caller, outside any transaction."""
-        self._limiter.rests(caller, trio.current_time())
+        self._limiter.set_idle(caller, trio.current_time())
 
     def mark_busy(self, caller: CallerConnection) -> None:
         """Record that a session runs a statement."""
-        self._limiter.works(caller)
+        self._limiter.set_busy(caller)
 
     def leave(self, caller: CallerConnection) -> None:
         """Record that a connection was closed."""
-        self._limiter.left(caller)
+        self._limiter.remove(caller)
 
     def maintain(self, now: float) -> None:
         """Count the box's own connections; log refused and shed callers, rate limited."""
-        self._limiter.note_own(self._open_streams())
+        self._limiter.set_own_connections(self._open_streams())
         if now - self._logged_at < LOG_INTERVAL_S or not (self._refused or self._shed):
             return
         self._logged_at = now
--- a/wharftiller/daemons/sessions/serving/drain.py
+++ b/wharftiller/daemons/sessions/serving/drain.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from wharftiller.core.sessions.isolation import BALANCER_SEES_S
+from wharftiller.core.sessions.isolation import BALANCER_REACTION_S
 
 if TYPE_CHECKING:
     from wharftiller.daemons.sessions.forwarding.executor import ForwardedExecutor
@@ -36,7 +36,7 @@
         grace_s : float
             Time from then on until the process is killed, in seconds.
         """
-        await trio.sleep(BALANCER_SEES_S)
+        await trio.sleep(BALANCER_REACTION_S)
         self._sessions.close_idle()
         await self._wait_until_ended(started + grace_s / 2)
         self._sessions.close_all()
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -240,7 +240,7 @@
         self.metrics.statements[row.name, refusal.kind.value] += 1
         match refusal.kind:
             case RefusalKind.REPLICA_BEHIND if after is not None:
-                row.refused_as_behind(after, trio.current_time())
+                row.record_behind(after, trio.current_time())
             case RefusalKind.NOT_PRIMARY:
                 self.check_soon.set()
             case _:
--- a/wharftiller/platform/watches.py
+++ b/wharftiller/platform/watches.py
@@ -119,7 +119,7 @@
             self._kind, client, self._list_timeout_s
         )
         self._verified_revision = max(self._verified_revision, self._revision)
-        self._tracker.saw(stored.revision for stored in objects.values())
+        self._tracker.record_seen(stored.revision for stored in objects.values())
         # The first list of a starting box reports no missed change: otherwise each start would
         # make all other boxes list the objects again.
         if self._apply(objects, self._revision) and was_listed:
@@ -133,7 +133,7 @@
             self._log.change("watch_history_lost", kind=self._kind)
             return None
         self._revision = watched.revision
-        self._tracker.saw(changed.revision for _, changed in watched.changes)
+        self._tracker.record_seen(changed.revision for _, changed in watched.changes)
         for is_deleted, changed in watched.changes:
             if is_deleted:
                 objects.pop(changed.name, None)
@@ -211,7 +211,7 @@
     def noticed(self, listing: PlatformSnapshot) -> None:
         """List the objects again if changes up to the snapshot's revision were missed."""
         assert self._nursery is not None
-        self._tracker.listed(listing.revisions, listing.revision)
+        self._tracker.record_list(listing.revisions, listing.revision)
         if self._tracker.misses(listing.revision):
             self._nursery.start_soon(self._list_missed, listing.revision)
         else:
--- a/wharftiller/tests/core/sessions/test_connection_limits.py
+++ b/wharftiller/tests/core/sessions/test_connection_limits.py
@@ -25,7 +25,7 @@
     limiter: ConnectionLimiter[str] = ConnectionLimiter(
         BoxLimits(descriptors=MIN_OWN_DESCRIPTORS + MIN_CALLERS)
     )
-    limiter.note_own(0)
+    limiter.set_own_connections(0)
     return limiter
 
 
@@ -62,46 +62,46 @@
     def test_it_is_unready_before_it_is_full_and_ready_only_with_room_again(self) -> None:
         limiter = small_limiter()
         for number in range(MIN_CALLERS - 1):
-            limiter.came(str(number), 0.0)
+            limiter.add_handshake(str(number), 0.0)
         assert limiter.is_nearly_full
         assert not limiter.is_full
-        limiter.left("0")
+        limiter.remove("0")
         assert limiter.is_nearly_full
-        limiter.left("1")
-        limiter.left("2")
+        limiter.remove("1")
+        limiter.remove("2")
         assert not limiter.is_nearly_full
 
     def test_the_oldest_handshake_is_closed_first(self) -> None:
         limiter = small_limiter()
-        limiter.came("idle", 0.0)
-        limiter.rests("idle", 0.0)
-        limiter.came("silent", 5.0)
-        assert limiter.who_leaves(5.0 + MIN_HANDSHAKE_S) == "silent"
+        limiter.add_handshake("idle", 0.0)
+        limiter.set_idle("idle", 0.0)
+        limiter.add_handshake("silent", 5.0)
+        assert limiter.connection_to_close(5.0 + MIN_HANDSHAKE_S) == "silent"
 
     def test_then_the_one_that_is_idle_longest(self) -> None:
         limiter = small_limiter()
         for name, at in (("one", 0.0), ("two", 1.0), ("three", 2.0)):
-            limiter.rests(name, at)
-        limiter.works("one")
-        limiter.rests("one", 3.0)
-        assert limiter.who_leaves(10.0) == "two"
+            limiter.set_idle(name, at)
+        limiter.set_busy("one")
+        limiter.set_idle("one", 3.0)
+        assert limiter.connection_to_close(10.0) == "two"
 
     def test_busy_and_new_connections_are_not_closed(self) -> None:
         limiter = small_limiter()
-        limiter.works("busy")
-        limiter.came("new", 9.9)
-        limiter.rests("idle for a moment", 10.0 - MIN_IDLE_S / 2)
-        assert limiter.who_leaves(10.0) is None
+        limiter.set_busy("busy")
+        limiter.add_handshake("new", 9.9)
+        limiter.set_idle("idle for a moment", 10.0 - MIN_IDLE_S / 2)
+        assert limiter.connection_to_close(10.0) is None
 
     def test_each_connection_is_counted_once_in_whatever_state(self) -> None:
         limiter = small_limiter()
         for number in range(50):
             caller = str(number % 7)
-            limiter.came(caller, 0.0)
-            limiter.rests(caller, 0.0)
-            limiter.works(caller)
-            limiter.rests(caller, 1.0)
+            limiter.add_handshake(caller, 0.0)
+            limiter.set_idle(caller, 0.0)
+            limiter.set_busy(caller)
+            limiter.set_idle(caller, 1.0)
         assert len(limiter) == 7
         for number in range(7):
-            limiter.left(str(number))
+            limiter.remove(str(number))
         assert len(limiter) == 0
--- a/wharftiller/tests/core/sessions/test_isolation.py
+++ b/wharftiller/tests/core/sessions/test_isolation.py
@@ -6,7 +6,7 @@
 import pytest
 
 from wharftiller.core.sessions.isolation import (
-    BALANCER_SEES_S,
+    BALANCER_REACTION_S,
     MAX_ISOLATED_S,
     Begin,
     End,
@@ -54,8 +54,8 @@
         assert Isolation().decide(inputs) == Unchanged()
 
     def test_no_data_centre_is_probed_while_most_primaries_can_be_used(self) -> None:
-        assert not Isolation().centres_to_ask(attrs.evolve(CUT_OFF, groups=4))
-        assert Isolation().centres_to_ask(CUT_OFF) == {"b", "c"}
+        assert not Isolation().centres_to_probe(attrs.evolve(CUT_OFF, groups=4))
+        assert Isolation().centres_to_probe(CUT_OFF) == {"b", "c"}
 
 
 class TestEnd:
@@ -79,6 +79,6 @@
 class TestSessions:
     def test_they_are_shed_once_when_the_balancer_has_reacted(self) -> None:
         isolation = isolated()
-        assert isolation.decide(later(BALANCER_SEES_S - 0.1)) == Unchanged()
-        assert isolation.decide(later(BALANCER_SEES_S + 0.1)) == ShedSessions(CUT_OFF.unusable)
-        assert isolation.decide(later(BALANCER_SEES_S + 1.0)) == Unchanged()
+        assert isolation.decide(later(BALANCER_REACTION_S - 0.1)) == Unchanged()
+        assert isolation.decide(later(BALANCER_REACTION_S + 0.1)) == ShedSessions(CUT_OFF.unusable)
+        assert isolation.decide(later(BALANCER_REACTION_S + 1.0)) == Unchanged()
--- a/wharftiller/tests/core/sessions/test_routing.py
+++ b/wharftiller/tests/core/sessions/test_routing.py
@@ -116,7 +116,7 @@
 
     def test_one_known_to_be_behind_is_skipped_for_a_moment(self) -> None:
         behind = row("two")
-        behind.refused_as_behind(LogPosition(1, 5), 9.95)
+        behind.record_behind(LogPosition(1, 5), 9.95)
         assert "two" not in self.order([row("one"), behind], {})
         assert "two" in self.order([row("one"), behind], {}, now=10.5)
 
@@ -131,17 +131,17 @@
     def test_it_is_unresponsive_once_an_answer_is_outstanding_for_long(self) -> None:
         endpoint = row("two")
         assert not endpoint.is_suspect(100.0)
-        endpoint.sent(1, 100.0)
+        endpoint.record_sent(1, 100.0)
         assert not endpoint.is_suspect(100.0 + MIN_SILENCE_S)
         assert endpoint.is_suspect(100.0 + 2 * MIN_SILENCE_S)
-        endpoint.answered(1, 101.0, None)
+        endpoint.record_reply(1, 101.0, None)
         assert not endpoint.is_suspect(102.0)
 
     def test_an_answer_to_another_statement_shows_that_it_responds(self) -> None:
         endpoint = row("two")
-        endpoint.sent(1, 100.0)
-        endpoint.sent(2, 100.1)
-        endpoint.answered(2, 100.5, None)
+        endpoint.record_sent(1, 100.0)
+        endpoint.record_sent(2, 100.1)
+        endpoint.record_reply(2, 100.5, None)
         assert not endpoint.is_suspect(101.0)
 
     def test_a_missing_entry_is_kept_for_a_while(self) -> None:
--- a/wharftiller/tests/platform/test_isolation.py
+++ b/wharftiller/tests/platform/test_isolation.py
@@ -5,7 +5,7 @@
 import trio
 
 from standins.object_store import StoreMode
-from wharftiller.core.sessions.isolation import BALANCER_SEES_S, MAX_ISOLATED_S
+from wharftiller.core.sessions.isolation import BALANCER_REACTION_S, MAX_ISOLATED_S
 from wharftiller.tests.platform.world import STORE_IP, World, make_group, run_in_world
 
 DETECTION_S = 2.2
@@ -118,7 +118,7 @@
             for caller in (here, *others):
                 await caller.ask("READ seat1")
             cut_off_data_centre(world, 2)
-            await trio.sleep(DETECTION_S + BALANCER_SEES_S + 0.2)
+            await trio.sleep(DETECTION_S + BALANCER_REACTION_S + 0.2)
             assert [await caller.line() for caller in others] == [None, None]
             assert (await here.ask("READ seat1"))[0] == "ROW none"
 
@@ -131,7 +131,7 @@
 
         async def scenario(world: World) -> None:
             cut_off_data_centre(world, 2)
-            await trio.sleep(DETECTION_S + BALANCER_SEES_S + 0.2)
+            await trio.sleep(DETECTION_S + BALANCER_REACTION_S + 0.2)
             caller = await world.call(world.boxes["box-3"], "bounded_staleness", "tours")
             await trio.sleep(1.0)
             assert (await caller.ask("READ seat1"))[-1].startswith("READY I")
--- a/wharftiller/tests/platform/test_stops.py
+++ b/wharftiller/tests/platform/test_stops.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from wharftiller.core.sessions.isolation import BALANCER_SEES_S
+from wharftiller.core.sessions.isolation import BALANCER_REACTION_S
 from wharftiller.tests.platform.world import BoxProcess, Caller, World, run_in_world
 
 GRACE_S = 6.0
@@ -27,11 +27,11 @@
             box.told.set()
             await trio.sleep(0.01)
             assert not box.process.proxy.is_ready  # type: ignore[union-attr]
-            while trio.current_time() < stop_requested_at + BALANCER_SEES_S - 0.1:
+            while trio.current_time() < stop_requested_at + BALANCER_REACTION_S - 0.1:
                 assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
                 await trio.sleep(0.05)
             assert await caller.line() is None
-            assert trio.current_time() - stop_requested_at < BALANCER_SEES_S + 0.2
+            assert trio.current_time() - stop_requested_at < BALANCER_REACTION_S + 0.2
 
         run_in_world(scenario)
 
@@ -55,7 +55,7 @@
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
             box.told.set()
-            await trio.sleep(BALANCER_SEES_S - 0.1)
+            await trio.sleep(BALANCER_REACTION_S - 0.1)
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
             assert await caller.line() is None
 
--- a/wharftiller/tests/platform/test_whole_path.py
+++ b/wharftiller/tests/platform/test_whole_path.py
@@ -156,7 +156,7 @@
             async with trio.open_nursery() as nursery:
                 for caller in callers:
                     nursery.start_soon(caller.ask, "READ seat1")
-            assert pool._limit.places(10) < 10
+            assert pool._limit.max_running(10) < 10
             assert (await callers[0].ask("READ seat1"))[0] == "ROW none"
 
         run_in_world(scenario)
