--- a/wharftiller/core/sessions/allowances/bounds.py
+++ b/wharftiller/core/sessions/allowances/bounds.py
@@ -53,7 +53,7 @@
         """Number of data centres, at least 1."""
         return max(1, len(self.centres))
 
-    def most(self, allowance: Allowance) -> float:
+    def max_operations(self, allowance: Allowance) -> float:
         """Return how many operations may run in any window, over all boxes."""
         allowed = allowance.rate_per_s * self.window_s + allowance.burst
         return allowed * (1 + self.overrun) + self.slack
@@ -83,7 +83,7 @@
     """Return how many operations within a window each data centre owns."""
     if allowance.rate_per_s <= 0 and allowance.burst <= 0:
         return 0.0
-    return GRANTED_FRACTION * bounds.most(allowance) / bounds.data_centres
+    return GRANTED_FRACTION * bounds.max_operations(allowance) / bounds.data_centres
 
 
 def bucket_size(allowance: Allowance, share: float, bounds: AllowanceBounds) -> BucketSize:
--- a/wharftiller/daemons/sessions/allowances/rate_limiter.py
+++ b/wharftiller/daemons/sessions/allowances/rate_limiter.py
@@ -98,7 +98,7 @@
         await self._take(admission)
         return admission
 
-    async def about_to_run(self, admission: Admission) -> None:
+    async def ensure_token(self, admission: Admission) -> None:
         """Take another token if the operation's token does not cover the next attempt.
 
         It does not if the operation waited so long that the token server no longer counts the
@@ -144,7 +144,7 @@
             grant.after_s,
         )
 
-    def give_back(self, admission: Admission) -> None:
+    def refund(self, admission: Admission) -> None:
         """Return the token of an operation that did not run."""
         workspace = admission.workspace
         if workspace is not None and admission.holds_token and not admission.may_have_run:
--- a/wharftiller/daemons/sessions/allowances/token_server.py
+++ b/wharftiller/daemons/sessions/allowances/token_server.py
@@ -70,7 +70,7 @@
         self._probed_at: dict[str, float] = {}
 
     @property
-    def kept(self) -> int:
+    def served_buckets(self) -> int:
         """Number of buckets that this box serves."""
         return len(self._allocator)
 
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -260,7 +260,9 @@
         """Return the metrics page."""
         if request.path != "/metrics":
             raise UnknownPathError(f"no {request.path}; the metrics are at /metrics")
-        gauges = state_gauges(self.state, self._directory, self.door, self._token_server.kept)
+        gauges = state_gauges(
+            self.state, self._directory, self.door, self._token_server.served_buckets
+        )
         page = metrics_page(self.state.metrics, gauges)
         return HttpResponse(200, page)
 
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -66,7 +66,7 @@
         except StatementRefusedError as error:
             return error.reply(statement, SessionState.IDLE)
         reply = await self._run_admitted(routed, admission)
-        self._rate_limiter.give_back(admission)
+        self._rate_limiter.refund(admission)
         return reply
 
     async def _run_admitted(self, routed: RoutedStatement, admission: Admission) -> Reply:
@@ -115,7 +115,7 @@
             with trio.move_on_at(routed.until):
                 connection = await self._selector.connect(routed, row)
                 await connection.take_on(routed.session, routed.needed)
-                await self._rate_limiter.about_to_run(admission)
+                await self._rate_limiter.ensure_token(admission)
                 self._check_still_primary(routed, row, admission)
                 query = routed.query(connection)
                 sent = True
@@ -211,7 +211,7 @@
             with self._read_timeouts.limit(routed.until, soft_deadline, can_run_elsewhere):
                 connection = await self._selector.connect(routed, row)
                 await connection.take_on(routed.session, routed.needed)
-                await self._rate_limiter.about_to_run(admission)
+                await self._rate_limiter.ensure_token(admission)
                 asked_at = trio.current_time()
                 reply = await connection.ask(routed.query(connection, after))
                 state = reply.state
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -108,7 +108,7 @@
         try:
             await self._bind(routed, transaction, admission)
         finally:
-            self._rate_limiter.give_back(admission)
+            self._rate_limiter.refund(admission)
 
     async def _bind(
         self, routed: RoutedStatement, transaction: OpenTransaction, admission: Admission
@@ -125,7 +125,7 @@
             with trio.move_on_at(routed.until):
                 connection = await self._selector.connect(routed, row)
                 try:
-                    await self._rate_limiter.about_to_run(admission)
+                    await self._rate_limiter.ensure_token(admission)
                     asked_at = trio.current_time()
                     query = EndpointQuery(begin, after=after)
                     reply = await connection.begin(routed.session, query)
--- a/wharftiller/tests/core/sessions/allowances/histories.py
+++ b/wharftiller/tests/core/sessions/allowances/histories.py
@@ -146,7 +146,7 @@
         window_s = self.bounds.window_s
         ends = (bisect.bisect_left(self.ran_at, at + window_s) for at in self.ran_at)
         fullest = max((end - start for start, end in enumerate(ends)), default=0)
-        return fullest / self.bounds.most(self._scenario.allowance)
+        return fullest / self.bounds.max_operations(self._scenario.allowance)
 
     @property
     def ideal_count(self) -> int:
--- a/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
+++ b/wharftiller/tests/core/sessions/allowances/test_token_allocator.py
@@ -138,7 +138,7 @@
         self, allowance: Allowance, centres: int
     ) -> None:
         bounds = AllowanceBounds(centres=tuple(map(str, range(centres))))
-        assert own_share(allowance, bounds) * centres < bounds.most(allowance)
+        assert own_share(allowance, bounds) * centres < bounds.max_operations(allowance)
 
     def test_an_allowance_of_nothing_grants_nothing(self) -> None:
         nothing = Allowance(0.0, 0.0)
--- a/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
+++ b/wharftiller/tests/daemons/sessions/allowances/test_rate_limiter.py
@@ -52,7 +52,7 @@
         async def scenario(limiter: RateLimiter, server: FakeTokenServer) -> None:
             admission = await limiter.admit(RILA)
             await trio.sleep(TOKEN_VALID_S / 2)
-            await limiter.about_to_run(admission)
+            await limiter.ensure_token(admission)
             assert server.tokens == 4
 
         run_with_limiter(5, scenario)
@@ -63,7 +63,7 @@
         async def scenario(limiter: RateLimiter, server: FakeTokenServer) -> None:
             admission = await limiter.admit(RILA)
             await trio.sleep(TOKEN_VALID_S * 3)
-            await limiter.about_to_run(admission)
+            await limiter.ensure_token(admission)
             assert server.tokens == 3
             assert server.unused == 1
 
@@ -74,7 +74,7 @@
             admission = await limiter.admit(RILA)
             await trio.sleep(TOKEN_VALID_S * 3)
             with pytest.raises(RateLimitedError, match="rila has no token left"):
-                await limiter.about_to_run(admission)
+                await limiter.ensure_token(admission)
 
         run_with_limiter(1, scenario)
 
@@ -83,10 +83,10 @@
             late, other = await limiter.admit(RILA), await limiter.admit(RILA)
             await trio.sleep(TOKEN_VALID_S * 3)
             server.tokens = 1
-            await limiter.about_to_run(other)
+            await limiter.ensure_token(other)
             with pytest.raises(RateLimitedError):
-                await limiter.about_to_run(late)
-            limiter.give_back(late)
+                await limiter.ensure_token(late)
+            limiter.refund(late)
             with pytest.raises(RateLimitedError):
                 await limiter.admit(RILA)
 
@@ -96,7 +96,7 @@
         async def scenario(limiter: RateLimiter, server: FakeTokenServer) -> None:
             admission = await limiter.admit(RILA)
             for _ in range(3):
-                await limiter.about_to_run(admission)
+                await limiter.ensure_token(admission)
             assert server.tokens == 2
 
         run_with_limiter(5, scenario)
@@ -105,10 +105,10 @@
         async def scenario(limiter: RateLimiter, server: FakeTokenServer) -> None:
             admission = await limiter.admit(RILA)
             for _ in range(3):
-                await limiter.about_to_run(admission)
+                await limiter.ensure_token(admission)
                 admission.did_not_run()
             assert server.tokens == 4
-            limiter.give_back(admission)
+            limiter.refund(admission)
             await limiter.admit(RILA)
             assert server.tokens == 4
 
@@ -117,8 +117,8 @@
     def test_one_that_ran_returns_no_token(self) -> None:
         async def scenario(limiter: RateLimiter, server: FakeTokenServer) -> None:
             admission = await limiter.admit(RILA)
-            await limiter.about_to_run(admission)
-            limiter.give_back(admission)
+            await limiter.ensure_token(admission)
+            limiter.refund(admission)
             await limiter.admit(RILA)
             assert server.tokens == 3
 
@@ -128,8 +128,8 @@
         async def scenario(limiter: RateLimiter, server: FakeTokenServer) -> None:
             admission = await limiter.admit(Workspace("free"))
             await trio.sleep(10.0)
-            await limiter.about_to_run(admission)
-            await limiter.about_to_run(await limiter.admit(None))
+            await limiter.ensure_token(admission)
+            await limiter.ensure_token(await limiter.admit(None))
             assert server.tokens == 0
 
         run_with_limiter(0, scenario)
--- a/wharftiller/tests/platform/test_allowances.py
+++ b/wharftiller/tests/platform/test_allowances.py
@@ -122,7 +122,7 @@
         async def scenario(world: World) -> None:
             boxes = list(world.boxes.values())
             hot, calm = await run_both_loads(world, 8.0, boxes if everywhere else boxes[:1])
-            most = BOUNDS.allowances.most(HOT)
+            most = BOUNDS.allowances.max_operations(HOT)
             assert fullest_window(world, "hot") <= most
             assert calm.outcomes["refused"] <= 0.01 * calm.outcomes.total()
             # A single data centre grants only its own fraction of the allowance.
@@ -155,7 +155,7 @@
                 await world.start_box(number, "abc"[(number - 1) % 3])
             await trio.sleep(1.0)
             await hot.run(list(world.boxes.values()), 6.0)
-            assert fullest_window(world, "hot") <= BOUNDS.allowances.most(HOT)
+            assert fullest_window(world, "hot") <= BOUNDS.allowances.max_operations(HOT)
             assert hot.outcomes["done"] > 100
 
         run_with_allowances(scenario)
@@ -254,7 +254,7 @@
             low = WorkspaceLoad(world, "hot", 20.0)
             started = trio.current_time()
             await low.run(list(world.boxes.values()), 10.0)
-            assert low.outcomes["done"] <= BOUNDS.allowances.most(Allowance(1.0, 1.0)) * 2
+            assert low.outcomes["done"] <= BOUNDS.allowances.max_operations(Allowance(1.0, 1.0)) * 2
             limit(4, 200.0)
             await trio.sleep(BOUNDS.configuration_in_force_s)
             high = WorkspaceLoad(world, "hot", 20.0)
