--- a/wharftiller/core/leadership/failover.py
+++ b/wharftiller/core/leadership/failover.py
@@ -20,7 +20,7 @@
 Replacing it loses the writes that no replica has received, so short pauses are waited out.
 """
 
-UNREACHABLE_BEHIND_CUT_S = 2.0
+UNREACHABLE_IN_PARTITION_S = 2.0
 """Time for which it must be unresponsive where some boxes are unresponsive too, in seconds.
 
 The failover then also waits for the leases of those boxes (6 s), and is cancelled if the
@@ -104,7 +104,7 @@
     if row is None:
         return True
     since = row.unreachable_since
-    threshold_s = UNREACHABLE_S if all_answer else UNREACHABLE_BEHIND_CUT_S
+    threshold_s = UNREACHABLE_S if all_answer else UNREACHABLE_IN_PARTITION_S
     return since is not None and now - since >= threshold_s + rank * RANK_DELAY_S
 
 
--- a/wharftiller/core/leadership/lease.py
+++ b/wharftiller/core/leadership/lease.py
@@ -8,7 +8,7 @@
 Two checks renew a lease: reading the record from the platform, and a renewal request
 to every other listed box. A renewal counts only if every box in the list replies, if
 each of them has read the record from the platform since it started, and if this box
-read the list from the platform itself within `LISTING_S`. Each reply carries the newest
+read the list from the platform itself within `MAX_BOX_LIST_AGE_S`. Each reply carries the newest
 record that its box has seen.
 
 Where the platform was restored from a copy, a primary may have been replaced in the lost
@@ -36,15 +36,15 @@
 be the same on every box at all times.
 """
 
-LISTING_S = 12.0
+MAX_BOX_LIST_AGE_S = 12.0
 """Maximum age of the list of boxes in a renewal, in seconds.
 
 In an outage of the platform writes go on for this time and a lease. A box that joined less than
-`LISTING_S` + `LEASE_S` ago may be missing from the lists of others, so it may not replace a
-primary beside an unresponsive box.
+`MAX_BOX_LIST_AGE_S` + `LEASE_S` ago may be missing from the lists of others, so it may not
+replace a primary beside an unresponsive box.
 """
 
-UNSETTLED_S = 2 * LEASE_S
+RESTORATION_SETTLING_S = 2 * LEASE_S
 """Time for which a restored record is not trusted while a box is unresponsive, in seconds.
 
 All leases end in half of it; in the rest, boxes that were partitioned or paused for a moment
@@ -57,7 +57,7 @@
 
     Its own reads show the tombstone and do not count until it has registered again, which
     replaces the tombstone. Its renewals need a reply from every box that was listed
-    `LISTING_S` before, including this one. So nothing renews its leases any more.
+    `MAX_BOX_LIST_AGE_S` before, including this one. So nothing renews its leases any more.
 
     Parameters
     ----------
@@ -70,7 +70,7 @@
     now : float
         In seconds.
     """
-    is_in_its_list = listed_s > LISTING_S + LEASE_S
+    is_in_its_list = listed_s > MAX_BOX_LIST_AGE_S + LEASE_S
     return is_in_its_list and now - max(tombstoned_at, answered_at) > LEASE_S
 
 
@@ -84,21 +84,21 @@
         The primary.
     checked_at : float
         Sending time of the last check that showed it leading, in seconds.
-    closing : bool
+    is_closing : bool
         True once nothing new may start under it.
-    given_up : bool
+    is_released : bool
         True once this box has released it.
     """
 
     endpoint: str
     term: int
     checked_at: float
-    closing: bool = False
-    given_up: bool = False
+    is_closing: bool = False
+    is_released: bool = False
 
-    def valid(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Return whether the primary may be used at ``now`` (seconds)."""
-        return not self.given_up and now < self.checked_at + LEASE_S
+        return not self.is_released and now < self.checked_at + LEASE_S
 
 
 @attrs.frozen
@@ -143,7 +143,7 @@
     def lease(self, group: str, now: float) -> GroupLease | None:
         """Return the valid lease on ``group``'s primary, if there is one."""
         lease = self._leases.get(group)
-        return lease if lease is not None and lease.valid(now) else None
+        return lease if lease is not None and lease.is_valid(now) else None
 
     def misses_lease(self, now: float) -> bool:
         """Return whether there is a recorded primary without a valid lease."""
@@ -162,7 +162,7 @@
         While a planned failover waits for an unresponsive box's lease to end, the others go on.
         """
         lease = self.lease(group, now)
-        return None if lease is None or lease.closing else lease
+        return None if lease is None or lease.is_closing else lease
 
     def may_acknowledge(self, group: str, endpoint: str, now: float) -> bool:
         """Return whether a write that ``endpoint`` committed may be acknowledged at ``now``."""
@@ -186,7 +186,7 @@
             if leads != lease.endpoint:
                 del self._leases[group]
             elif isinstance(state, FailingOver) and not state.planned:
-                lease.closing = lease.given_up = True
+                lease.is_closing = lease.is_released = True
         return True
 
     def read(self, record: LeadershipRecord, asked_at: float) -> None:
@@ -230,7 +230,11 @@
             return None
         all_replied = self._boxes_renewed_at > self._unconfirmed_since
         has_newer_record = self.record.updates > restored.updates
-        if has_newer_record or all_replied or now - self._unconfirmed_since > UNSETTLED_S:
+        if (
+            has_newer_record
+            or all_replied
+            or now - self._unconfirmed_since > RESTORATION_SETTLING_S
+        ):
             return self.record.written_back_over(restored.revision, self.leased_groups(now))
         return None
 
@@ -258,15 +262,15 @@
         """
         if self._unconfirmed is not None or self.record.era > self._era:
             return False
-        return now - self._unconfirmed_since > UNSETTLED_S
+        return now - self._unconfirmed_since > RESTORATION_SETTLING_S
 
-    def listed(self, boxes: Iterable[str], asked_at: float) -> None:
+    def update_boxes(self, boxes: Iterable[str], asked_at: float) -> None:
         """Update from the platform's list of the other boxes."""
         kept = frozenset() if self.is_settled(asked_at) else self.boxes
         self.boxes = frozenset(boxes) | kept
         self.boxes_listed_at = max(self.boxes_listed_at, asked_at)
 
-    def renewal_ended(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
+    def apply_renewal(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
         """Update from the replies to a renewal request; return whether they renewed the leases."""
         answered: set[str] = set()
         for answer in answers:
@@ -276,7 +280,7 @@
         counts = (
             bool(self.boxes)
             and self.boxes <= answered
-            and asked_at - self.boxes_listed_at < LISTING_S
+            and asked_at - self.boxes_listed_at < MAX_BOX_LIST_AGE_S
             and self.read_from_platform
         )
         if counts:
@@ -288,22 +292,22 @@
         """Start nothing new on ``endpoint``; statements in flight may end."""
         lease = self._leases.get(group)
         if lease is not None and lease.endpoint == endpoint:
-            lease.closing = True
+            lease.is_closing = True
 
     def release_lease(self, group: str, endpoint: str) -> None:
         """Stop using ``endpoint`` as ``group``'s primary, for good in this term."""
         lease = self._leases.get(group)
         if lease is not None and lease.endpoint == endpoint:
-            lease.closing = lease.given_up = True
+            lease.is_closing = lease.is_released = True
 
     def _renew(self, asked_at: float) -> None:
         for group, state in self.record.groups.items():
             if not isinstance(state, Leading):
                 continue
             lease = self._leases.get(group)
-            if self._may_only_extend(state) and (lease is None or not lease.valid(asked_at)):
+            if self._may_only_extend(state) and (lease is None or not lease.is_valid(asked_at)):
                 continue
-            if lease is None or lease.endpoint != state.endpoint or lease.closing:
+            if lease is None or lease.endpoint != state.endpoint or lease.is_closing:
                 self._leases[group] = GroupLease(state.endpoint, state.term, asked_at)
             else:
                 lease.checked_at = max(lease.checked_at, asked_at)
--- a/wharftiller/core/leadership/record.py
+++ b/wharftiller/core/leadership/record.py
@@ -150,7 +150,7 @@
         }
 
     @property
-    def moving(self) -> dict[str, FailingOver]:
+    def failovers(self) -> dict[str, FailingOver]:
         """The groups whose primary is being replaced, with the failover."""
         return {
             name: state for name, state in self.groups.items() if isinstance(state, FailingOver)
--- a/wharftiller/core/sessions/retry_after.py
+++ b/wharftiller/core/sessions/retry_after.py
@@ -11,8 +11,8 @@
 
 import attrs
 
-from wharftiller.core.leadership.failover import UNREACHABLE_BEHIND_CUT_S, UNREACHABLE_S
-from wharftiller.core.leadership.lease import LEASE_S, UNSETTLED_S
+from wharftiller.core.leadership.failover import UNREACHABLE_IN_PARTITION_S, UNREACHABLE_S
+from wharftiller.core.leadership.lease import LEASE_S, RESTORATION_SETTLING_S
 from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 
 SHORT_RETRY_AFTER_S = 0.3
@@ -100,12 +100,15 @@
     if availability.unverified_s is not None:
         if availability.unverified_s < ORDERS_EFFECT_S + usual_failover_s:
             return ORDERS_EFFECT_S + usual_failover_s - availability.unverified_s
-        return max(SHORT_RETRY_AFTER_S, UNSETTLED_S + usual_failover_s - availability.unverified_s)
+        return max(
+            SHORT_RETRY_AFTER_S,
+            RESTORATION_SETTLING_S + usual_failover_s - availability.unverified_s,
+        )
     if availability.silent_s is None:
         return SHORT_RETRY_AFTER_S
     if availability.silent_s < UNREACHABLE_S + usual_failover_s:
         return UNREACHABLE_S + usual_failover_s - availability.silent_s
-    return UNREACHABLE_BEHIND_CUT_S + LEASE_S + usual_failover_s - availability.silent_s
+    return UNREACHABLE_IN_PARTITION_S + LEASE_S + usual_failover_s - availability.silent_s
 
 
 def queue_retry_after_s(queue_s: float) -> float:
--- a/wharftiller/daemons/sessions/gauges.py
+++ b/wharftiller/daemons/sessions/gauges.py
@@ -66,7 +66,7 @@
         lease = state.leases.last_lease(group)
         if lease is not None:
             terms.append(((group,), float(lease.term)))
-            remaining_s = lease.checked_at + LEASE_S - now if lease.valid(now) else 0.0
+            remaining_s = lease.checked_at + LEASE_S - now if lease.is_valid(now) else 0.0
             remaining.append(((group,), remaining_s))
         newest = state.positions.of_group(group).newest
         if newest is not None:
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -110,11 +110,11 @@
         record = self._state.leases.record
         if not is_settled and not _needs_verification_only(record):
             return
-        if record.moving and record.holder == self._writer.incarnation:
+        if record.failovers and record.holder == self._writer.incarnation:
             await self._runner.advance(record)
-        elif record.moving:
+        elif record.failovers:
             if await self._may_take_over(record):
-                self._state.log.change("change_taken_over", groups=sorted(record.moving))
+                self._state.log.change("change_taken_over", groups=sorted(record.failovers))
                 await self._writer.write(self._writer.as_holder(record))
         else:
             await self._start_failovers(record)
@@ -173,7 +173,7 @@
                 failover = await self._needed_failover(group, leading)
                 if failover is not None:
                     changed = changed.with_group(group, failover)
-        if changed.moving:
+        if changed.failovers:
             await self._writer.write(changed)
 
     async def _needed_failover(self, group: str, leading: Leading) -> FailingOver | None:
@@ -260,7 +260,7 @@
         now = trio.current_time()
         if self._seen is None or self._seen.revision != record.revision:
             self._seen = _RevisionSeen(record.revision, now)
-        if not any(map(self._state.serves_group, record.moving)):
+        if not any(map(self._state.serves_group, record.failovers)):
             # If all boxes queried the holder of a failover that waits for a lease, the number of
             # requests would grow with the square of the number of boxes.
             return False
@@ -269,14 +269,14 @@
             await self._query_holder(_box_name(record.holder))
         if self._holder_restarted(record.holder):
             return seen_s > FIRST_RANK_DELAY_S
-        if any(failover.ordered for failover in record.moving.values()):
+        if any(failover.ordered for failover in record.failovers.values()):
             return seen_s > TAKE_OVER_ORDERED_S
         is_silent = _box_name(record.holder) not in self._directory.replies
         return seen_s > (TAKE_OVER_SILENT_S if is_silent else TAKE_OVER_S)
 
     def _take_over_rank(self, record: LeadershipRecord) -> int:
         """Return how many boxes that run statements of these groups act before this one."""
-        others = self._gateways.others_of(record.moving)
+        others = self._gateways.others_of(record.failovers)
         names = self._directory.live() if others is None else [box.name for box in others]
         return min(MAX_RANKS, takeover_rank(self._state.box, names, str(record.fence)))
 
@@ -301,8 +301,8 @@
     This need not wait until the list of boxes is reliable: verification by the endpoints'
     statuses replaces no primary that a box may use.
     """
-    if record.moving:
-        return all(failover.old.is_unverified for failover in record.moving.values())
+    if record.failovers:
+        return all(failover.old.is_unverified for failover in record.failovers.values())
     return bool(record.unverified)
 
 
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -76,7 +76,7 @@
 
     async def advance(self, record: LeadershipRecord) -> None:
         """Advance the failovers in ``record``, which this box holds, as far as possible now."""
-        if not all(failover.ordered for failover in record.moving.values()):
+        if not all(failover.ordered for failover in record.failovers.values()):
             if not await self._revoke_and_mark_ordered(record):
                 return
             record = self._state.leases.record
@@ -91,8 +91,8 @@
     async def _replace_successors(self, record: LeadershipRecord, groups: list[str]) -> None:
         """Record other successors for ``groups``, whose successors are not running."""
         for group in groups:
-            best = await self._successors.best(group, record.moving[group])
-            failover = attrs.evolve(record.moving[group], successor=best)
+            best = await self._successors.best(group, record.failovers[group])
+            failover = attrs.evolve(record.failovers[group], successor=best)
             record = record.with_group(group, failover)
         await self._writer.write(record)
 
@@ -122,7 +122,7 @@
         if not answering:
             return False
         for group in sorted(answering):
-            record = record.with_group(group, record.moving[group].old)
+            record = record.with_group(group, record.failovers[group].old)
         await self._writer.write(record)
         await self._send_record(answering)
         return True
@@ -146,7 +146,7 @@
                     answering.append(group)
 
         async with trio.open_nursery() as nursery:
-            for group, failover in record.moving.items():
+            for group, failover in record.failovers.items():
                 row = self._state.endpoints.rows.get(failover.old.endpoint)
                 if row is not None and failover.is_cancellable:
                     nursery.start_soon(probe, group, row)
@@ -158,7 +158,7 @@
         None while a group that replicates writes before they are acknowledged has no successor
         known to hold all of them.
         """
-        for group, failover in record.moving.items():
+        for group, failover in record.failovers.items():
             best = await self._final_successor(group, failover)
             if best is None:
                 return None
@@ -199,7 +199,7 @@
                 promoted[group] = leading
 
         async with trio.open_nursery() as nursery:
-            for group, failover in record.moving.items():
+            for group, failover in record.failovers.items():
                 nursery.start_soon(promote, group, failover)
         if promoted:
             await self._record_promoted(record, promoted)
@@ -227,7 +227,7 @@
         self, record: LeadershipRecord, promoted: dict[str, Leading]
     ) -> None:
         """Record the new primaries, send the record to their users, and demote the old ones."""
-        failovers = record.moving
+        failovers = record.failovers
         for group, leading in promoted.items():
             record = record.with_group(group, leading)
         for _ in range(MAX_RECORD_ATTEMPTS):
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -7,7 +7,7 @@
 import trio
 
 from wharftiller.core.errors import PlatformUnavailableError
-from wharftiller.core.leadership.lease import LEASE_S, LISTING_S
+from wharftiller.core.leadership.lease import LEASE_S, MAX_BOX_LIST_AGE_S
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.record import LeadershipRecord
@@ -61,7 +61,7 @@
         if dead:
             self._state.log.change("dead_boxes_not_waited_for", boxes=dead)
         pending = {n: box for n, box in self._directory.boxes.items() if n not in dead}
-        if all(failover.planned for failover in record.moving.values()):
+        if all(failover.planned for failover in record.failovers.values()):
             await self._wait_beside_unresponsive(won_at, pending)
         async with trio.open_nursery() as nursery:
             # All boxes at once: each first lets its writes end, for up to a second.
@@ -101,7 +101,7 @@
     def _answering_lost_primaries(self, record: LeadershipRecord, won_at: float) -> list[str]:
         """Return the groups whose lost primary answers again and may go on leading."""
         answering = []
-        for group, failover in record.moving.items():
+        for group, failover in record.failovers.items():
             row = self._state.endpoints.rows.get(failover.old.endpoint)
             if not failover.is_cancellable or row is None:
                 continue
@@ -113,8 +113,9 @@
     async def _request_releases(self, pending: dict[str, Box], record: LeadershipRecord) -> bool:
         """Request releases from these boxes; return whether an old member released its lease.
 
-        An unresponsive box's renewals need a reply from every box that was listed `LISTING_S`
-        before, so an old member that has the new record keeps it from renewing its lease.
+        An unresponsive box's renewals need a reply from every box that was listed
+        `MAX_BOX_LIST_AGE_S` before, so an old member that has the new record keeps it from
+        renewing its lease.
         """
         listed_times: list[float] = []
 
@@ -131,8 +132,8 @@
         async with trio.open_nursery() as nursery:
             for name in list(pending):
                 nursery.start_soon(request, name)
-        return any(listed_s > LISTING_S + LEASE_S for listed_s in listed_times)
+        return any(listed_s > MAX_BOX_LIST_AGE_S + LEASE_S for listed_s in listed_times)
 
     def _is_old_member(self, now: float) -> bool:
         """Return whether this box is certainly in every other box's list."""
-        return self._directory.listed_s(now) > LISTING_S + LEASE_S
+        return self._directory.listed_s(now) > MAX_BOX_LIST_AGE_S + LEASE_S
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -173,7 +173,7 @@
         """Release the leases on the primaries being replaced."""
         self._adopt_record(value)
         record = self._state.leases.record
-        if record.revision < value["revision"] or not record.moving:
+        if record.revision < value["revision"] or not record.failovers:
             return {"stopped": False}
         await self.stop_using(record)
         listed_s = self._directory.listed_s(trio.current_time())
@@ -182,13 +182,13 @@
     async def stop_using(self, record: LeadershipRecord) -> None:
         """Release the leases on primaries being replaced; if planned, once writes have ended."""
         leases = self._state.leases
-        for group, moving in record.moving.items():
-            leases.close(group, moving.old.endpoint)
-        for group, moving in record.moving.items():
-            if moving.planned:
+        for group, failover in record.failovers.items():
+            leases.close(group, failover.old.endpoint)
+        for group, failover in record.failovers.items():
+            if failover.planned:
                 await self._wait_for_writes(group)
-            self._state.leases.release_lease(group, moving.old.endpoint)
-        self._state.log.change("word_given", groups=sorted(record.moving))
+            self._state.leases.release_lease(group, failover.old.endpoint)
+        self._state.log.change("word_given", groups=sorted(record.failovers))
         self._state.wake()
 
     async def _wait_for_writes(self, group: str) -> None:
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -187,7 +187,7 @@
         self._record_contact(boxes, replies)
         answers = [reply.answer for reply in replies.values()]
         before = self._state.leases.record.revision
-        renewed = self._state.leases.renewal_ended(answers, asked_at)
+        renewed = self._state.leases.apply_renewal(answers, asked_at)
         if renewed or self._state.leases.record.revision != before:
             self._state.wake()
         return renewed
--- a/wharftiller/daemons/sessions/membership/retirement.py
+++ b/wharftiller/daemons/sessions/membership/retirement.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from wharftiller.core.errors import PlatformUnavailableError
-from wharftiller.core.leadership.lease import LEASE_S, LISTING_S
+from wharftiller.core.leadership.lease import LEASE_S, MAX_BOX_LIST_AGE_S
 from wharftiller.daemons.sessions.membership.readers import REQUEST_RECENT_S
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
 Longer than a restart (1 to 2 s); a box that was only cut off registers again.
 """
 
-TOMBSTONE_S = LISTING_S + LEASE_S + 1.0
+TOMBSTONE_S = MAX_BOX_LIST_AGE_S + LEASE_S + 1.0
 """Age at which a tombstoned entry is removed, in seconds: its leases have expired."""
 
 
--- a/wharftiller/daemons/sessions/membership/snapshots.py
+++ b/wharftiller/daemons/sessions/membership/snapshots.py
@@ -51,7 +51,7 @@
         before = leases.record.revision
         # The record first: it may show that the list was restored from a backup and lacks boxes.
         leases.read(snapshot.record, asked_at)
-        leases.listed(others, asked_at)
+        leases.update_boxes(others, asked_at)
         if leases.record.revision != before:
             self._state.log.change(
                 "record_adopted", revision=leases.record.revision, source="platform"
--- a/wharftiller/daemons/sessions/serving/answer_log.py
+++ b/wharftiller/daemons/sessions/serving/answer_log.py
@@ -95,7 +95,7 @@
         "group": route.group,
         "record": state.leases.record.revision,
         "lead": lead,
-        "moving": route.group in state.leases.record.moving,
+        "moving": route.group in state.leases.record.failovers,
         "lease_age_ms": None if lease is None else _ms(now - lease.checked_at),
         "lead_silent_ms": None if silent_since is None else _ms(now - silent_since),
         "point_age_ms": None if newest is None else _ms(now - newest.at),
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -159,7 +159,7 @@
         with trio.move_on_after(timeout_s):
             while not self.may_acknowledge(row):
                 lease = self.leases.last_lease(row.entry.group)
-                if lease is None or lease.endpoint != row.name or lease.given_up:
+                if lease is None or lease.endpoint != row.name or lease.is_released:
                     return False
                 await self.leadership_changed()
             return True
@@ -205,7 +205,7 @@
     def _measure_failovers(self) -> None:
         """Update the smoothed duration of failovers."""
         now = trio.current_time()
-        if self.leases.record.moving:
+        if self.leases.record.failovers:
             self._failover_since = now if self._failover_since is None else self._failover_since
         elif self._failover_since is not None:
             took_s = now - self._failover_since
--- a/wharftiller/tests/core/leadership/histories.py
+++ b/wharftiller/tests/core/leadership/histories.py
@@ -17,7 +17,12 @@
 import attrs
 
 from wharftiller.core.leadership.failover import TAKE_OVER_S
-from wharftiller.core.leadership.lease import LEASE_S, LISTING_S, RenewalReply, holds_no_lease
+from wharftiller.core.leadership.lease import (
+    LEASE_S,
+    MAX_BOX_LIST_AGE_S,
+    RenewalReply,
+    holds_no_lease,
+)
 from wharftiller.core.leadership.record import FailingOver, LeadershipRecord, Leading
 from wharftiller.core.leadership.verification import VerificationEvidence, choose_successor
 from wharftiller.tests.core.leadership.model_endpoints import ModelEndpoints
@@ -190,7 +195,7 @@
             box.listed_since = asked_at
         counted_at = asked_at if self._rules.request_time_counts else self.now
         box.table.read(record, counted_at)
-        box.table.listed([name for name in listed if name != box.name], counted_at)
+        box.table.update_boxes([name for name in listed if name != box.name], counted_at)
         if self._reaches_platform(box):
             self._write_back(box)
 
@@ -215,7 +220,7 @@
         )
 
     def _end_renewal(self, box: ModelBox, answers: list[RenewalReply], asked_at: float) -> None:
-        box.table.renewal_ended(answers, asked_at if self._rules.request_time_counts else self.now)
+        box.table.apply_renewal(answers, asked_at if self._rules.request_time_counts else self.now)
 
     # Faults -------------------------------------------------------------
 
@@ -356,7 +361,7 @@
         tombstones: dict[str, int],
     ) -> None:
         box.table.adopt(won)
-        box.table.release_lease(GROUP, won.moving[GROUP].old.endpoint)
+        box.table.release_lease(GROUP, won.failovers[GROUP].old.endpoint)
         pending = set(listed if listed is not None else box.table.boxes) - {box.name}
         self._update_tombstones(box, tombstones)
         dead = {
@@ -378,7 +383,7 @@
             awake = not other.dead and other.paused_until <= self.now
             if other.name in pending and awake and self._connected(box, other):
                 other.table.adopt(won)
-                other.table.release_lease(GROUP, won.moving[GROUP].old.endpoint)
+                other.table.release_lease(GROUP, won.failovers[GROUP].old.endpoint)
                 pending.discard(other.name)
                 has_old_member |= self._is_old_member(other)
         old_member = (
@@ -405,12 +410,12 @@
     def _is_old_member(self, box: ModelBox) -> bool:
         """Return whether ``box`` is certainly in every other box's list."""
         since = box.listed_since
-        return since is not None and self.now - since > LISTING_S + LEASE_S
+        return since is not None and self.now - since > MAX_BOX_LIST_AGE_S + LEASE_S
 
     def _promote(self, box: ModelBox, won: LeadershipRecord) -> None:
         if self._platform.record.revision != won.revision:
             return
-        self.primary = won.moving[GROUP].successor
+        self.primary = won.failovers[GROUP].successor
         self._endpoints.promote(self.primary, self.now)
         self.promotions += 1
         self._at(0.3, lambda: self._when_awake(box, lambda: self._record_promoted(box, won)))
@@ -421,7 +426,7 @@
         if not self._reaches_platform(box):
             self._at(0.5, lambda: self._when_awake(box, lambda: self._record_promoted(box, won)))
             return
-        leading = Leading(won.moving[GROUP].successor, self._platform.revision + 1)
+        leading = Leading(won.failovers[GROUP].successor, self._platform.revision + 1)
         recorded = attrs.evolve(won, updates=won.updates + 1).with_group(GROUP, leading)
         box.table.adopt(self._platform.write(recorded))
         box.is_failing_over = False
--- a/wharftiller/tests/core/leadership/test_lease.py
+++ b/wharftiller/tests/core/leadership/test_lease.py
@@ -10,8 +10,8 @@
 from wharftiller.core.leadership import lease
 from wharftiller.core.leadership.lease import (
     LEASE_S,
-    LISTING_S,
-    UNSETTLED_S,
+    MAX_BOX_LIST_AGE_S,
+    RESTORATION_SETTLING_S,
     LeaseTable,
     RenewalReply,
     holds_no_lease,
@@ -40,7 +40,7 @@
 @pytest.fixture
 def table() -> LeaseTable:
     table = LeaseTable()
-    table.listed(["box-2", "box-3"], 0.0)
+    table.update_boxes(["box-2", "box-3"], 0.0)
     table.read(record(1, Leading("one")), 0.0)
     return table
 
@@ -52,26 +52,26 @@
         assert not table.may_acknowledge(GROUP, "two", 1.0)
 
     def test_replies_of_every_box_renew(self, table: LeaseTable) -> None:
-        assert table.renewal_ended([answer("box-2"), answer("box-3")], 3.0)
+        assert table.apply_renewal([answer("box-2"), answer("box-3")], 3.0)
         assert table.may_acknowledge(GROUP, "one", 3.0 + LEASE_S - 0.01)
 
     def test_a_missing_reply_does_not_renew(self, table: LeaseTable) -> None:
-        assert not table.renewal_ended([answer("box-2")], 3.0)
+        assert not table.apply_renewal([answer("box-2")], 3.0)
         assert not table.may_acknowledge(GROUP, "one", LEASE_S)
 
     def test_a_restarted_box_that_has_not_read_does_not_count(self, table: LeaseTable) -> None:
-        assert not table.renewal_ended([answer("box-2"), answer("box-3", read=False)], 3.0)
+        assert not table.apply_renewal([answer("box-2"), answer("box-3", read=False)], 3.0)
 
     def test_a_renewal_with_an_old_list_does_not_count(self, table: LeaseTable) -> None:
-        at = LISTING_S
+        at = MAX_BOX_LIST_AGE_S
         table.read(record(1, Leading("one")), at - 1)
-        assert not table.renewal_ended([answer("box-2"), answer("box-3")], at)
+        assert not table.apply_renewal([answer("box-2"), answer("box-3")], at)
 
     def test_a_renewal_without_other_boxes_does_not_count(self) -> None:
         table = LeaseTable()
-        table.listed([], 0.0)
+        table.update_boxes([], 0.0)
         table.read(record(1, Leading("one")), 0.0)
-        assert not table.renewal_ended([], 1.0)
+        assert not table.apply_renewal([], 1.0)
 
 
 class TestFailovers:
@@ -116,7 +116,7 @@
 
 
 class TestDeadBoxes:
-    OLD_S = LISTING_S + LEASE_S + 1
+    OLD_S = MAX_BOX_LIST_AGE_S + LEASE_S + 1
 
     def test_a_tombstone_that_has_stood_for_a_lease_is_enough(self) -> None:
         assert holds_no_lease(10.0, -math.inf, self.OLD_S, 10.1 + LEASE_S)
@@ -245,22 +245,22 @@
         table.adopt(written)
         assert not table.is_settled(0.5)
         table.read(written, 1.0)
-        table.listed(["box-2"], 1.0)
+        table.update_boxes(["box-2"], 1.0)
         assert table.boxes == {"box-2", "box-3"}
-        assert not table.is_settled(1.0 + UNSETTLED_S)
-        assert table.is_settled(1.1 + UNSETTLED_S)
+        assert not table.is_settled(1.0 + RESTORATION_SETTLING_S)
+        assert table.is_settled(1.1 + RESTORATION_SETTLING_S)
 
     def test_a_further_restoration_begins_the_wait_anew(self, table: LeaseTable) -> None:
         restored = attrs.evolve(record(9, Leading("one")), is_confirmed=False, era=1)
         table.read(restored, 1.0)
         table.read(attrs.evolve(restored, revision=19, era=2), 10.0)
-        assert table.record_to_write_back(1.1 + UNSETTLED_S) is None
-        assert not table.is_settled(1.1 + UNSETTLED_S)
+        assert table.record_to_write_back(1.1 + RESTORATION_SETTLING_S) is None
+        assert not table.is_settled(1.1 + RESTORATION_SETTLING_S)
 
     def test_a_lost_update_never_replaces_a_confirmed_record(self, table: LeaseTable) -> None:
         restored = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
         table.read(restored, 1.0)
-        assert table.renewal_ended([answer("box-2"), answer("box-3")], 2.0)
+        assert table.apply_renewal([answer("box-2"), answer("box-3")], 2.0)
         confirmed = table.record_to_write_back(2.5)
         assert confirmed is not None
         assert confirmed.revision == 9
@@ -273,19 +273,19 @@
         restored = attrs.evolve(record(9, Leading("one")), is_confirmed=False)
         fresh = LeaseTable()
         for each in (table, fresh):
-            each.listed(["box-2", "box-3"], 1.0)
+            each.update_boxes(["box-2", "box-3"], 1.0)
             each.read(restored, 1.0)
-            assert each.renewal_ended([answer("box-2"), answer("box-3")], 2.0)
+            assert each.apply_renewal([answer("box-2"), answer("box-3")], 2.0)
         assert table.may_acknowledge(GROUP, "one", 2.0 + LEASE_S - 0.01)
         assert fresh.lease(GROUP, 2.1) is None
 
     def test_a_primary_stays_unverified_until_it_is_verified(self, table: LeaseTable) -> None:
         fresh = LeaseTable()
         fresh.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
-        written = fresh.record_to_write_back(1.1 + UNSETTLED_S)
+        written = fresh.record_to_write_back(1.1 + RESTORATION_SETTLING_S)
         assert written is not None
         assert written.unverified == {GROUP: Leading("one", is_unverified=True)}
-        at = 2.0 + UNSETTLED_S
+        at = 2.0 + RESTORATION_SETTLING_S
         fresh.read(attrs.evolve(written, revision=10), at)
         assert fresh.lease(GROUP, at) is None
         cleared = written.with_group(GROUP, Leading("one"))
@@ -297,7 +297,7 @@
         failover = FailingOver(Leading("one", 4), "two", planned=False, ordered=True)
         written = record(9, failover).written_back_over(9, ())
         assert written.unverified == {GROUP: Leading("one", 4, is_unverified=True)}
-        assert written.moving == {}
+        assert written.failovers == {}
 
     def test_no_fence_of_an_earlier_restoration_is_reused(self) -> None:
         restored = attrs.evolve(record(2_000, Leading("one")), updates=7)
@@ -308,10 +308,10 @@
 
     def test_an_unresponsive_box_delays_the_confirmation(self, table: LeaseTable) -> None:
         table.read(attrs.evolve(record(9, Leading("one")), is_confirmed=False), 1.0)
-        assert not table.renewal_ended([answer("box-2")], 2.0)
-        assert table.record_to_write_back(1.0 + UNSETTLED_S) is None
-        assert table.record_to_write_back(1.1 + UNSETTLED_S) is not None
-        assert not table.is_settled(1.1 + UNSETTLED_S)
+        assert not table.apply_renewal([answer("box-2")], 2.0)
+        assert table.record_to_write_back(1.0 + RESTORATION_SETTLING_S) is None
+        assert table.record_to_write_back(1.1 + RESTORATION_SETTLING_S) is not None
+        assert not table.is_settled(1.1 + RESTORATION_SETTLING_S)
 
     def test_a_late_read_is_no_restoration(self, table: LeaseTable) -> None:
         table.adopt(attrs.evolve(record(5, Leading("two")), updates=1))
--- a/wharftiller/tests/core/leadership/weak_table.py
+++ b/wharftiller/tests/core/leadership/weak_table.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from wharftiller.core.leadership.lease import LISTING_S, LeaseTable, RenewalReply
+from wharftiller.core.leadership.lease import MAX_BOX_LIST_AGE_S, LeaseTable, RenewalReply
 from wharftiller.core.leadership.record import LeadershipRecord, Leading
 
 
@@ -65,7 +65,7 @@
         """Return whether checks begin no lease; without the rule they always may."""
         return self.rules.copies_are_unverified and super()._may_only_extend(state)
 
-    def renewal_ended(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
+    def apply_renewal(self, answers: Iterable[RenewalReply], asked_at: float) -> bool:
         """Renew by replies of other boxes, without the disabled rules."""
         answers = list(answers)
         for answer in answers:
@@ -81,7 +81,9 @@
             if rules.every_box_answers
             else 2 * (len(self.boxes & answered) + 1) > len(self.boxes) + 1
         )
-        recent = asked_at - self.boxes_listed_at < LISTING_S or not rules.list_must_be_recent
+        recent = (
+            asked_at - self.boxes_listed_at < MAX_BOX_LIST_AGE_S or not rules.list_must_be_recent
+        )
         if self.boxes and enough and recent and self.read_from_platform:
             self._renew(asked_at)
             return True
--- a/wharftiller/tests/core/sessions/test_retry_after.py
+++ b/wharftiller/tests/core/sessions/test_retry_after.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wharftiller.core.leadership.failover import UNREACHABLE_S
-from wharftiller.core.leadership.lease import LEASE_S, UNSETTLED_S
+from wharftiller.core.leadership.lease import LEASE_S, RESTORATION_SETTLING_S
 from wharftiller.core.leadership.verification import ORDERS_EFFECT_S
 from wharftiller.core.sessions.retry_after import (
     JITTER_FRACTION,
@@ -42,7 +42,11 @@
                 Cause.NO_LEASE,
                 ORDERS_EFFECT_S + CHANGE_S - 1.0,
             ),
-            (PrimaryAvailability(unverified_s=9.0), Cause.NO_LEASE, UNSETTLED_S + CHANGE_S - 9.0),
+            (
+                PrimaryAvailability(unverified_s=9.0),
+                Cause.NO_LEASE,
+                RESTORATION_SETTLING_S + CHANGE_S - 9.0,
+            ),
         ],
     )
     def test_the_time_is_what_is_left_until_the_primary_can_be_used(
--- a/wharftiller/tests/platform/test_failovers_under_failures.py
+++ b/wharftiller/tests/platform/test_failovers_under_failures.py
@@ -8,7 +8,7 @@
 import trio
 
 from standins.object_store import StoreMode
-from wharftiller.core.leadership.lease import LEASE_S, LISTING_S
+from wharftiller.core.leadership.lease import LEASE_S, MAX_BOX_LIST_AGE_S
 from wharftiller.daemons.sessions.membership.box import Box
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.daemons.sessions.membership.retirement import SILENT_S
@@ -179,7 +179,7 @@
     def test_a_box_known_to_be_dead_is_not_waited_for(self, planned: bool) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            await trio.sleep(LISTING_S + LEASE_S)
+            await trio.sleep(MAX_BOX_LIST_AGE_S + LEASE_S)
             await world.kill_box(world.boxes["box-3"])
             await trio.sleep(TOMBSTONED_WITHIN_S + LEASE_S)
             caller = await world.call(world.boxes["box-1"], "primary")
@@ -203,7 +203,7 @@
         async def scenario(world: World) -> None:
             box = world.boxes["box-3"]
             others = [each.ip for each in world.boxes.values() if each is not box]
-            await trio.sleep(LISTING_S + LEASE_S)
+            await trio.sleep(MAX_BOX_LIST_AGE_S + LEASE_S)
             world.network.cut([box.ip], [*others, STORE_IP])
             while box.name in world.boxes["box-1"].process.proxy._directory.boxes:  # type: ignore[union-attr]
                 await trio.sleep(0.5)
@@ -211,7 +211,7 @@
             await trio.sleep(6)
             assert box.process.proxy is not None
             directory = box.process.proxy._directory
-            assert 0 < directory.listed_s(trio.current_time()) < LISTING_S
+            assert 0 < directory.listed_s(trio.current_time()) < MAX_BOX_LIST_AGE_S
 
         run_in_world(scenario)
 
