--- a/wharftiller/daemons/sessions/forwarding/executor.py
+++ b/wharftiller/daemons/sessions/forwarding/executor.py
@@ -116,7 +116,7 @@
         if message.unsettled:
             session.unsettled.add(group)
         if message.begins:
-            self._runner.begin_for_box(
+            self._runner.begin_forwarded(
                 session, message.route, message.read_only, now - message.begun_s
             )
             self._transactions[message.transaction] = _ForwardedTransaction(session, now)
@@ -130,7 +130,7 @@
         if transaction is not None:
             transaction.is_running = True
         try:
-            return await self._runner.run_for_box(
+            return await self._runner.run_forwarded(
                 session, message.route, message.statement, arrived_at
             )
         finally:
@@ -150,7 +150,7 @@
         self, message: ForwardedStatement, session: Session | None, reply: Reply
     ) -> ForwardedReply:
         group = message.route.group
-        primary = self._state.startable(group)
+        primary = self._state.usable_primary(group)
         usable = primary is not None and not primary.is_suspect(trio.current_time())
         lacks = self._state.lacks_lease(group)
         if session is None:
@@ -179,7 +179,7 @@
     async def run_for_ever(self) -> None:
         """Roll back abandoned transactions and enforce read time-outs."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._runner.patience.run)
+            nursery.start_soon(self._runner.read_timeouts.run)
             while True:
                 await trio.sleep(REAP_POLL_S)
                 self._reap(trio.current_time())
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -13,7 +13,7 @@
 from wharftiller.core.sessions.session import RemoteTransaction
 from wharftiller.core.sessions.statements import Commit, RefusalKind, Reply, SessionState
 from wharftiller.daemons.sessions.serving.routed import (
-    MARGIN_S,
+    REPLY_MARGIN_S,
     StatementRefusedError,
     route_statement,
 )
@@ -257,7 +257,7 @@
         self, gateway: Box, routed: RoutedStatement, message: ForwardedStatement
     ) -> ForwardedReply:
         """Return the gateway's reply; raises as `GatewayClient.forward` does."""
-        forwarded = await self._client.forward(gateway, message, routed.until + MARGIN_S)
+        forwarded = await self._client.forward(gateway, message, routed.until + REPLY_MARGIN_S)
         self._apply_reply(routed, forwarded, gateway)
         return forwarded
 
@@ -270,7 +270,7 @@
             session.unsettled.add(group)
         elif forwarded.own_write is not None:
             session.wrote(group, forwarded.own_write)
-        self._state.told_usable[group] = forwarded.primary_usable
+        self._state.gateway_usable[group] = forwarded.primary_usable
         if forwarded.lacks_lease:
             self._gateways.record_lease_missing(gateway.name)
         else:
--- a/wharftiller/daemons/sessions/in_flight.py
+++ b/wharftiller/daemons/sessions/in_flight.py
@@ -50,7 +50,7 @@
         self._groups[group].writes -= 1
         self._on_change()
 
-    def is_quiet(self, group: str) -> bool:
+    def is_idle(self, group: str) -> bool:
         """Return whether this box has no in-flight write or write transaction in ``group``."""
         work = self._groups[group]
         return work.writes == 0 and work.transactions == 0
--- a/wharftiller/daemons/sessions/interfaces.py
+++ b/wharftiller/daemons/sessions/interfaces.py
@@ -104,7 +104,7 @@
         """Resume or pause the watches; while paused, another box sends the changes."""
         ...
 
-    def noticed(self, listing: PlatformSnapshot) -> None:
+    def read_missed(self, listing: PlatformSnapshot) -> None:
         """Read again whatever the watches have not delivered up to the revision of ``listing``.
 
         Watches may miss changes for a while.
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -121,8 +121,8 @@
             "read": state.leases.read_from_platform,
             "revision": record.revision,
             "record": record_to_json(record) if is_newer else None,
-            "knows": state.knowledge.to_json(),
-            "points": state.positions.told(),
+            "knows": state.state_versions.to_json(),
+            "points": state.positions.to_json(),
             "hears": self._reachable_primaries(),
         }
 
@@ -194,5 +194,5 @@
     async def _wait_for_writes(self, group: str) -> None:
         """Wait until this box's writes in ``group`` have ended, for `QUIET_WAIT_S` at most."""
         with trio.move_on_after(QUIET_WAIT_S):
-            while not self._state.work.is_quiet(group):
-                await self._state.leadership_changed()
+            while not self._state.work.is_idle(group):
+                await self._state.wait_for_change()
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -71,7 +71,7 @@
     answer: RenewalReply
     platform_answers: bool
     incarnation: str
-    knowledge: StateVersions
+    state_versions: StateVersions
     hears: frozenset[str]
 
 
@@ -218,7 +218,7 @@
             record = self._state.leases.record
             if value["record"] is not None:
                 record = record_from_json(value["record"], value["revision"])
-            self._state.positions.take(value["points"], asked_at)
+            self._state.positions.merge(value["points"], asked_at)
             answer = RenewalReply(box.name, bool(value["read"]), record)
             reachable = frozenset(map(str, value["hears"]))
             read_at = asked_at - int(value["read_age_ms"]) / 1000
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -61,7 +61,7 @@
             case End():
                 self._state.log.change("isolation_ended", silent=sorted(silent), **fields)
             case ShedSessions(groups):
-                closed = self._sessions.send_away(groups)
+                closed = self._sessions.shed(groups)
                 self._state.log.change("sessions_sent_away", sessions=closed, **fields)
 
     def _inputs(self) -> IsolationInputs:
@@ -84,10 +84,10 @@
         unusable = set()
         for group in self._state.leases.record.groups:
             if not self._state.serves_group(group):
-                if not self._state.told_usable.get(group, True):
+                if not self._state.gateway_usable.get(group, True):
                     unusable.add(group)
                 continue
-            row = self._state.startable(group)
+            row = self._state.usable_primary(group)
             if row is None or row.is_suspect(now):
                 unusable.add(group)
         return frozenset(unusable)
--- a/wharftiller/daemons/sessions/membership/peer_sync.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -122,7 +122,7 @@
             raise BadRequestError(
                 f"no valid state versions: {error!r}; run one version on all boxes"
             ) from None
-        own = self._state.knowledge
+        own = self._state.state_versions
         rows = self._state.endpoints.rows.values()
         return {
             "configuration": (
@@ -160,7 +160,7 @@
         """Fetch configuration and endpoints from a box that has newer ones."""
         for name, reply in self._directory.replies.items():
             box = self._directory.boxes.get(name)
-            if box is not None and self._state.knowledge.lacks(reply.knowledge):
+            if box is not None and self._state.state_versions.lacks(reply.state_versions):
                 self._nursery.start_soon(self.sync_from, box.address)
                 return
         self.mark_up_to_date()
@@ -180,7 +180,7 @@
         asked_at = trio.current_time()
         try:
             known = await self._directory.fetch_state(
-                address, self._state.knowledge, self._fetch_timeout_s
+                address, self._state.state_versions, self._fetch_timeout_s
             )
         finally:
             self._is_fetching = False
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -151,8 +151,8 @@
             "boxes": None,
             "gone": [],
             "whole": False,
-            "knows": self._state.knowledge.to_json(),
-            "points": self._state.positions.told(),
+            "knows": self._state.state_versions.to_json(),
+            "points": self._state.positions.to_json(),
         }
         if snapshot.record.revision > revision:
             reply["record"] = record_to_json(snapshot.record)
@@ -272,7 +272,7 @@
             if not value["read"]:
                 self.is_silent = True
                 return False
-            has_newer = self._state.knowledge.lacks(StateVersions.from_json(value["knows"]))
+            has_newer = self._state.state_versions.lacks(StateVersions.from_json(value["knows"]))
             self.newer_state_at = reader.address if has_newer else None
             if not value["listed"]:
                 return False
@@ -296,7 +296,7 @@
                 boxes.update((each["name"], Box(**each)) for each in value["boxes"])
                 self._boxes = boxes
                 self._list_revision = int(value["list_revision"])
-            self._state.positions.take(value["points"], asked_at)
+            self._state.positions.merge(value["points"], asked_at)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadRequestError(
                 f"{reader.name} sent a malformed reply: {error!r}; run one version on all boxes"
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -157,7 +157,7 @@
         known_age_s = asked_at - self._directory.platform_read_at
         is_alone = self.reads_for_others or not self._lease_renewer.renewed
         if is_alone or known_age_s > self._intervals.known_s:
-            self._watches.noticed(snapshot)
+            self._watches.read_missed(snapshot)
         self._directory.platform_read_at = max(self._directory.platform_read_at, asked_at)
 
     async def _read_registered(self) -> tuple[PlatformSnapshot, float]:
@@ -181,7 +181,7 @@
 
     def _set_platform_answers(self, answers: bool, why: str = "") -> None:
         self._directory.platform_answers = answers
-        self._state.platform_away = not answers
+        self._state.is_platform_unavailable = not answers
         if self._platform_answers != answers:
             self._platform_answers = answers
             self._state.log.change("platform_back" if answers else "platform_lost", why=why)
--- a/wharftiller/daemons/sessions/primary_positions.py
+++ b/wharftiller/daemons/sessions/primary_positions.py
@@ -36,7 +36,7 @@
         """Record the primary's position from the reply to a request of ``asked_at`` (seconds)."""
         self.of_group(group).add(FreshPoint(asked_at, position))
 
-    def told(self) -> PositionsJson:
+    def to_json(self) -> PositionsJson:
         """Return each primary's newest known position and its age, to send to another box."""
         now = trio.current_time()
         positions = {}
@@ -48,7 +48,7 @@
                 positions[group] = (state.endpoint, position.term, position.index, age_ms)
         return positions
 
-    def take(self, positions: PositionsJson, asked_at: float) -> None:
+    def merge(self, positions: PositionsJson, asked_at: float) -> None:
         """Record the positions in another box's reply to a request of ``asked_at`` (seconds)."""
         for group, (lead, term, index, age_ms) in positions.items():
             if lead == self._leases.record.lead(group):
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -142,8 +142,8 @@
         )
         rate_limiter = RateLimiter(self.state, self._directory, token_client, self._token_server)
         self._runner = StatementRunner(self.state, rate_limiter, forwarder)
-        self.door = ConnectionAdmission(self.state, limits, open_streams)
-        self.sessions = SessionServer(self.state, self._runner, self.door)
+        self.admission = ConnectionAdmission(self.state, limits, open_streams)
+        self.sessions = SessionServer(self.state, self._runner, self.admission)
         self._executor = ForwardedExecutor(self.state, rate_limiter)
         self._drain = Drain(self.sessions, self._executor)
         snapshot_server = SnapshotServer(self.state, incarnation)
@@ -228,7 +228,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether this box should receive new sessions."""
-        if self._unready or self._isolation.is_isolated or self.door.is_nearly_full:
+        if self._unready or self._isolation.is_isolated or self.admission.is_nearly_full:
             return False
         knows_boxes = self._directory.listed_since is not None or bool(self._directory.boxes)
         return self.state.version > 0 and bool(self.state.endpoints.rows) and knows_boxes
@@ -245,7 +245,7 @@
             self._prober.run,
             self._failover_monitor.run,
             self._isolation.run,
-            self._runner.patience.run,
+            self._runner.read_timeouts.run,
             self._gateway_client.watch_for_ever,
             self._executor.run_for_ever,
             self._log.flush_for_ever,
@@ -261,7 +261,7 @@
         if request.path != "/metrics":
             raise UnknownPathError(f"no {request.path}; the metrics are at /metrics")
         gauges = state_gauges(
-            self.state, self._directory, self.door, self._token_server.served_buckets
+            self.state, self._directory, self.admission, self._token_server.served_buckets
         )
         page = metrics_page(self.state.metrics, gauges)
         return HttpResponse(200, page)
@@ -278,7 +278,7 @@
             now = trio.current_time()
             self.state.endpoints.expire(now)
             self._token_server.maintain(now)
-            self.door.maintain(now)
+            self.admission.maintain(now)
             for pool in self.state.endpoints.pools.values():
                 pool.trim(now)
 
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -140,7 +140,7 @@
         self, routed: RoutedStatement, row: EndpointRow, admission: Admission
     ) -> None:
         """Refuse the write if ``row`` is no longer the primary once its connection is prepared."""
-        if self._state.startable(routed.route.group) is not row:
+        if self._state.usable_primary(routed.route.group) is not row:
             admission.did_not_run()
             detail = "the primary is being replaced"
             raise StatementRefusedError(RefusalKind.NO_CAPACITY, detail, Cause.CHANGE_OF_PRIMARY)
--- a/wharftiller/daemons/sessions/serving/callers.py
+++ b/wharftiller/daemons/sessions/serving/callers.py
@@ -121,7 +121,7 @@
         self._closing_idle = True
         self._cancel_waiting()
 
-    def send_away(self, groups: Collection[str]) -> int:
+    def shed(self, groups: Collection[str]) -> int:
         """Close the idle sessions on ``groups`` that are outside a transaction; return how many."""
         routes = self._state.configuration.routes
         shed = 0
@@ -131,7 +131,7 @@
                 open_session.caller.waiting is not None and open_session.session.transaction is None
             )
             if is_idle and route is not None and route.group in groups:
-                open_session.caller.send_away()
+                open_session.caller.shed()
                 shed += 1
         return shed
 
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -35,7 +35,7 @@
     waiting: trio.CancelScope | None = None
     is_shed: bool = False
 
-    def send_away(self) -> None:
+    def shed(self) -> None:
         """Close the connection once its current statement is answered."""
         self.is_shed = True
         if self.waiting is not None:
@@ -74,7 +74,7 @@
         """Whether new callers should be directed to other boxes."""
         return self._limiter.is_nearly_full
 
-    def enter(self) -> CallerConnection | None:
+    def admit(self) -> CallerConnection | None:
         """Accept a connection, shedding an idle one if needed; None if the box is full."""
         now = trio.current_time()
         self._limiter.set_own_connections(self._open_streams())
@@ -92,7 +92,7 @@
         if closing is None:
             return False
         self._limiter.remove(closing)
-        closing.send_away()
+        closing.shed()
         self._shed += 1
         self._state.metrics.doors["sent_away"] += 1
         return True
@@ -109,7 +109,7 @@
         """Record that a session runs a statement."""
         self._limiter.set_busy(caller)
 
-    def leave(self, caller: CallerConnection) -> None:
+    def release(self, caller: CallerConnection) -> None:
         """Record that a connection was closed."""
         self._limiter.remove(caller)
 
--- a/wharftiller/daemons/sessions/serving/endpoint_selection.py
+++ b/wharftiller/daemons/sessions/serving/endpoint_selection.py
@@ -64,7 +64,7 @@
         if isinstance(need, AnyReplica):
             row = self._replica(routed, need, tried)
             if row is not None:
-                primary = self._state.startable(route.group)
+                primary = self._state.usable_primary(route.group)
                 return row, None if row is primary else need.position
         return await self.primary(routed), None
 
@@ -94,7 +94,7 @@
         )
         if isinstance(need, AnyReplica) and self._replica(routed, need, tried) is not None:
             return True
-        primary = state.startable(route.group)
+        primary = state.usable_primary(route.group)
         return (
             primary is not None and primary.name not in tried and state.endpoints.is_usable(primary)
         )
@@ -112,12 +112,12 @@
         hold_until = min(routed.until, trio.current_time() + HOLD_FOR_PRIMARY_S)
         with trio.move_on_at(hold_until):
             while True:
-                row = state.startable(group)
+                row = state.usable_primary(group)
                 if row is not None and state.endpoints.is_usable(row):
                     return row
                 if not state.primary_expected(group):
                     break
-                await state.leadership_changed()
+                await state.wait_for_change()
         availability = state.primary_availability(group)
         after_s = primary_retry_after_s(availability, state.failover_s)
         detail = f"no primary of {group} can be used now"
--- a/wharftiller/daemons/sessions/serving/routed.py
+++ b/wharftiller/daemons/sessions/serving/routed.py
@@ -28,7 +28,7 @@
     from wharftiller.core.sessions.statements import SessionState
     from wharftiller.daemons.sessions.connections.pooled_connection import PooledConnection
 
-MARGIN_S = 0.02
+REPLY_MARGIN_S = 0.02
 """Time reserved for the reply before a statement's time-out, in seconds."""
 
 BUSY_RETRY_S = 0.02
@@ -153,7 +153,7 @@
         case _:
             detail = "a statement of this kind cannot be sent to an endpoint"
             raise StatementRefusedError(RefusalKind.MALFORMED, detail)
-    until = arrived_at + route.timeout_s - MARGIN_S
+    until = arrived_at + route.timeout_s - REPLY_MARGIN_S
     return RoutedStatement(session, route, statement, statement.body, needed, arrived_at, until)
 
 
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    gate : RateLimiter
+    rate_limiter : RateLimiter
         Admits operations that run on this box.
     forwarder : Forwarder or None
         Forwards statements to other boxes; without one, all run on this box.
@@ -50,8 +50,8 @@
         self._state = state
         self._forwarder = forwarder
         selector = EndpointSelector(state)
-        self.patience = ReadTimeouts()
-        self._autocommit = AutocommitRunner(state, rate_limiter, selector, self.patience)
+        self.read_timeouts = ReadTimeouts()
+        self._autocommit = AutocommitRunner(state, rate_limiter, selector, self.read_timeouts)
         self._transactions = TransactionRunner(state, rate_limiter, selector)
 
     async def run(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
@@ -137,7 +137,7 @@
                 return reply
         return await self._transactions.run(session, transaction, statement, arrived_at)
 
-    async def run_for_box(
+    async def run_forwarded(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
     ) -> Reply:
         """Run a statement that another box forwarded; return the answer."""
@@ -150,7 +150,7 @@
         record_forwarded(self._state, session, statement, reply, arrived_at)
         return reply
 
-    def begin_for_box(
+    def begin_forwarded(
         self, session: Session, route: Route, read_only: bool, begun_at: float
     ) -> None:
         """Open another box's transaction; its first statement selects the endpoint."""
--- a/wharftiller/daemons/sessions/state.py
+++ b/wharftiller/daemons/sessions/state.py
@@ -68,9 +68,9 @@
         Returns whether this box runs a group's statements itself; set by `Gateways`.
     failover_s : float
         Smoothed duration of failovers, from the first record to the last, in seconds.
-    platform_away : bool
+    is_platform_unavailable : bool
         Whether the platform failed to answer this box's last read.
-    told_usable : dict of str to bool
+    gateway_usable : dict of str to bool
         For groups whose statements are forwarded, whether the gateway last reported that it
         can use the primary.
     """
@@ -100,8 +100,8 @@
         self.work = InFlightWork(self.wake)
         self.check_soon = trio.Event()
         self.serves_group: Callable[[str], bool] = lambda group: True
-        self.told_usable: dict[str, bool] = {}
-        self.platform_away = False
+        self.gateway_usable: dict[str, bool] = {}
+        self.is_platform_unavailable = False
         log.counts = self.metrics.events
 
     # Configuration ------------------------------------------------------
@@ -112,7 +112,7 @@
         return self.configuration.version
 
     @property
-    def knowledge(self) -> StateVersions:
+    def state_versions(self) -> StateVersions:
         """Versions of the configuration and the endpoints that this box has."""
         return StateVersions(self.version, self.endpoints.revision, self.endpoints.digest)
 
@@ -133,7 +133,7 @@
         """Return the recorded primary, the old one during a failover."""
         return self.leases.record.lead(group)
 
-    def startable(self, group: str) -> EndpointRow | None:
+    def usable_primary(self, group: str) -> EndpointRow | None:
         """Return the primary if new writes and primary reads may be sent to it now."""
         lease = self.leases.may_start(group, trio.current_time())
         row = self.endpoints.rows.get(lease.endpoint) if lease is not None else None
@@ -161,7 +161,7 @@
                 lease = self.leases.last_lease(row.entry.group)
                 if lease is None or lease.endpoint != row.name or lease.is_released:
                     return False
-                await self.leadership_changed()
+                await self.wait_for_change()
             return True
         return False
 
@@ -182,7 +182,7 @@
                     return now - row.unreachable_since < PRIMARY_EXPECTED_S
                 lease = self.leases.last_lease(group)
                 if lease is None:
-                    return not self.platform_away
+                    return not self.is_platform_unavailable
                 return now - lease.checked_at < LEASE_S + RECORD_EXPECTED_S
             case None:
                 return True
@@ -212,7 +212,7 @@
             self.failover_s += FAILOVER_WEIGHT * (took_s - self.failover_s)
             self._failover_since = None
 
-    async def leadership_changed(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait until the endpoints, the leases or the configuration change."""
         await self._changed.wait()
 
--- a/wharftiller/platform/callers.py
+++ b/wharftiller/platform/callers.py
@@ -75,7 +75,7 @@
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serve one connection until either side ends it."""
         reader = LineReader(stream)
-        caller = self._proxy.door.enter()
+        caller = self._proxy.admission.admit()
         if caller is None:
             await self._refuse_full(stream, reader)
             return
@@ -89,7 +89,7 @@
             # An error in one session must not end the others.
             self._proxy.state.log.change("session_failed", why=repr(error))
         finally:
-            self._proxy.door.leave(caller)
+            self._proxy.admission.release(caller)
 
     async def _refuse_full(self, stream: trio.abc.Stream, reader: LineReader) -> None:
         """Refuse a caller after its greeting.
@@ -102,7 +102,7 @@
         try:
             with trio.move_on_after(REFUSED_GREETING_TIMEOUT_S):
                 await reader.line()
-            detail = self._proxy.door.refusal()
+            detail = self._proxy.admission.refusal()
             await self._refuse(stream, RefusalKind.TOO_MANY_CONNECTIONS, detail)
         except (trio.BrokenResourceError, trio.ClosedResourceError, BodyTooLargeError):
             return
@@ -141,7 +141,7 @@
         state = self._proxy.state
         with trio.move_on_after(CONFIGURATION_TIMEOUT_S):
             while state.version == 0:
-                await state.leadership_changed()
+                await state.wait_for_change()
         return state.configuration.routes.get(database)
 
     @staticmethod
--- a/wharftiller/platform/watches.py
+++ b/wharftiller/platform/watches.py
@@ -208,7 +208,7 @@
             if watcher.is_wanted != wanted:
                 watcher.follow(wanted)
 
-    def noticed(self, listing: PlatformSnapshot) -> None:
+    def read_missed(self, listing: PlatformSnapshot) -> None:
         """List the objects again if changes up to the snapshot's revision were missed."""
         assert self._nursery is not None
         self._tracker.record_list(listing.revisions, listing.revision)
