--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -106,7 +106,7 @@
         """Whether this box's own limit allows another connection."""
         return self.total < self.share() + EXTRA_CONNECTIONS
 
-    def note_busy(self) -> None:
+    def record_busy(self) -> None:
         """Lower the concurrency limit after the endpoint was too busy for a statement."""
         self._limit.decrease(self._running, trio.current_time())
 
--- a/wharftiller/daemons/sessions/connections/pooled_connection.py
+++ b/wharftiller/daemons/sessions/connections/pooled_connection.py
@@ -72,12 +72,12 @@
         """
         (reply,) = await self._exchange([query])
         if reply.refusal is not None and reply.refusal.kind is RefusalKind.NO_CAPACITY:
-            self.pool.note_busy()
+            self.pool.record_busy()
         else:
             self.pool.record_answer()
         return attrs.evolve(reply, endpoint=self.pool.row.name)
 
-    async def take_on(
+    async def apply_session(
         self, session: Session, needed: PreparedStatement | None, *, may_reset: bool = True
     ) -> None:
         """Set the session's values and prepare the statement that is needed.
--- a/wharftiller/daemons/sessions/connections/probes.py
+++ b/wharftiller/daemons/sessions/connections/probes.py
@@ -18,7 +18,7 @@
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
-PROBE_S = 0.3
+PROBE_POLL_S = 0.3
 """Interval between searches for endpoints to probe, in seconds."""
 
 STATUS_TIMEOUT_S = 0.6
@@ -56,7 +56,7 @@
     async def run(self) -> None:
         """Probe endpoints until cancelled."""
         while True:
-            await trio.sleep(PROBE_S)
+            await trio.sleep(PROBE_POLL_S)
             now = trio.current_time()
             primaries = {self._state.lead(group) for group in self._state.leases.record.groups}
             for row in list(self._state.endpoints.rows.values()):
@@ -184,7 +184,7 @@
         connection.release()
         return status
 
-    def demote_soon(self, endpoint: str, term: int) -> None:
+    def start_demotion(self, endpoint: str, term: int) -> None:
         """Start demoting a former primary; an unreachable one is only logged."""
         self._nursery.start_soon(self._demote, endpoint, term)
 
--- a/wharftiller/daemons/sessions/connections/relay.py
+++ b/wharftiller/daemons/sessions/connections/relay.py
@@ -29,7 +29,7 @@
 CHUNK_BYTES = 16_384
 
 
-async def open_through(transport: Transport, via: str, address: str) -> trio.abc.Stream:
+async def open_via_relay(transport: Transport, via: str, address: str) -> trio.abc.Stream:
     """Open a stream to ``address`` through the box at ``via``.
 
     Raises
--- a/wharftiller/daemons/sessions/forwarding/executor.py
+++ b/wharftiller/daemons/sessions/forwarding/executor.py
@@ -176,7 +176,7 @@
         if transaction is not None:
             self._runner.end_transaction(transaction.session)
 
-    async def run_for_ever(self) -> None:
+    async def run_maintenance(self) -> None:
         """Roll back abandoned transactions and enforce read time-outs."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._runner.read_timeouts.run)
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -71,7 +71,7 @@
         self._client = client
         self._nursery = nursery
 
-    async def single(
+    async def forward_autocommit(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
     ) -> Reply | None:
         """Forward an autocommit statement; return None if this box is to run it itself."""
@@ -107,7 +107,7 @@
         kind = RefusalKind.ROLLED_BACK if may_have_run else RefusalKind.NO_CAPACITY
         raise StatementRefusedError(kind, why, Cause.BOX_LOST)
 
-    async def in_transaction(
+    async def forward_in_transaction(
         self,
         session: Session,
         transaction: OpenTransaction,
@@ -123,7 +123,7 @@
                 self.drop(session, transaction)
                 return error.reply(statement, SessionState.IDLE)
             transaction.failed = True
-            self.end_remote(transaction)
+            self.roll_back_remote(transaction)
             reply = error.reply(statement, SessionState.FAILED)
         transaction.used_at = trio.current_time()
         return reply
@@ -206,9 +206,9 @@
     def drop(self, session: Session, transaction: OpenTransaction) -> None:
         """Detach ``transaction`` from its session and roll it back."""
         session.transaction = None
-        self.end_remote(transaction)
+        self.roll_back_remote(transaction)
 
-    def end_remote(self, transaction: OpenTransaction) -> None:
+    def roll_back_remote(self, transaction: OpenTransaction) -> None:
         """Roll the transaction back on its gateway, if it has begun there."""
         remote, transaction.remote = transaction.remote, None
         if remote is not None:
--- a/wharftiller/daemons/sessions/forwarding/gateway_client.py
+++ b/wharftiller/daemons/sessions/forwarding/gateway_client.py
@@ -152,7 +152,7 @@
             finally:
                 del link.outstanding[scope]
 
-    async def watch_for_ever(self) -> None:
+    async def watch_gateways(self) -> None:
         """Probe unresponsive gateways; cancel the outstanding statements of lost ones."""
         while True:
             await self._has_outstanding.wait()
@@ -178,7 +178,7 @@
         for scope in link.outstanding:
             scope.cancel()
 
-    async def leave(self, name: str, for_s: float) -> None:
+    async def stop_forwarding(self, name: str, for_s: float) -> None:
         """Send no new statements to a box that is stopping, for ``for_s`` seconds."""
         self._gateways.skip(name, for_s)
         link = self._links.get(name)
--- a/wharftiller/daemons/sessions/forwarding/gateways.py
+++ b/wharftiller/daemons/sessions/forwarding/gateways.py
@@ -18,7 +18,7 @@
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
-AVOIDED_S = 3.0
+SKIPPED_S = 3.0
 """Time for which an unresponsive gateway is skipped, in seconds: longer than a restart."""
 
 SPARE_GATEWAYS = 1
@@ -105,7 +105,7 @@
             self._cached_all[group] = cached
         return cached
 
-    def others_of(self, groups: Iterable[str]) -> list[Box] | None:
+    def other_gateways_of(self, groups: Iterable[str]) -> list[Box] | None:
         """Return the other gateways of ``groups``; None if every box is one."""
         found: dict[str, Box] = {}
         for group in groups:
@@ -116,7 +116,7 @@
             found.update((name, boxes[name]) for name in names if name in boxes)
         return list(found.values())
 
-    def may_run_any(self) -> bool:
+    def may_receive_forwarded(self) -> bool:
         """Return whether other boxes may forward statements to this one."""
         gateways = map(self._gateways, self._state.configuration.groups)
         return any(each.is_gateway or each.is_spare for each in gateways)
@@ -156,7 +156,7 @@
         """Record that a gateway has a lease."""
         self._lease_missing_until.pop(name, None)
 
-    def skip(self, name: str, for_s: float = AVOIDED_S) -> None:
+    def skip(self, name: str, for_s: float = SKIPPED_S) -> None:
         """Skip a box for ``for_s`` seconds: it is unresponsive or stopping."""
         self._skipped_until[name] = trio.current_time() + for_s
         self._cached_until = -math.inf
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -212,7 +212,7 @@
         queried concurrently, as each query may take half a second.
         """
         is_reachable = False
-        queried = self._gateways.others_of([group])
+        queried = self._gateways.other_gateways_of([group])
 
         async def query_boxes() -> None:
             nonlocal is_reachable
@@ -276,7 +276,7 @@
 
     def _take_over_rank(self, record: LeadershipRecord) -> int:
         """Return how many boxes that run statements of these groups act before this one."""
-        others = self._gateways.others_of(record.failovers)
+        others = self._gateways.other_gateways_of(record.failovers)
         names = self._directory.live() if others is None else [box.name for box in others]
         return min(MAX_RANKS, takeover_rank(self._state.box, names, str(record.fence)))
 
--- a/wharftiller/daemons/sessions/leadership/failover_runner.py
+++ b/wharftiller/daemons/sessions/leadership/failover_runner.py
@@ -132,7 +132,7 @@
 
         The others forward their statements, and get it from their readers within a second.
         """
-        gateways = self._gateways.others_of(groups)
+        gateways = self._gateways.other_gateways_of(groups)
         await self._directory.send_record(self._state.leases.record, gateways)
 
     async def _probe_lost_primaries(self, record: LeadershipRecord) -> list[str]:
@@ -243,4 +243,4 @@
         for group, leading in promoted.items():
             old = failovers[group].old.endpoint
             if old != leading.endpoint:
-                self._prober.demote_soon(old, leading.term)
+                self._prober.start_demotion(old, leading.term)
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -137,7 +137,7 @@
             raise BadRequestError(
                 "leaving notification without a 'box' name; run one version on all boxes"
             )
-        await self._gateway_client.leave(value["box"], self._grace_s + BOX_START_S)
+        await self._gateway_client.stop_forwarding(value["box"], self._grace_s + BOX_START_S)
         return {}
 
     def _reachable_primaries(self) -> list[str]:
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -203,7 +203,7 @@
             self._directory,
             snapshot_client,
             self._peer_sync,
-            self._gateways.may_run_any,
+            self._gateways.may_receive_forwarded,
             nursery,
         )
         self._reads = SharedReads(
@@ -246,8 +246,8 @@
             self._failover_monitor.run,
             self._isolation.run,
             self._runner.read_timeouts.run,
-            self._gateway_client.watch_for_ever,
-            self._executor.run_for_ever,
+            self._gateway_client.watch_gateways,
+            self._executor.run_maintenance,
             self._log.flush_for_ever,
         ):
             self._nursery.start_soon(task)
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -114,7 +114,7 @@
         try:
             with trio.move_on_at(routed.until):
                 connection = await self._selector.connect(routed, row)
-                await connection.take_on(routed.session, routed.needed)
+                await connection.apply_session(routed.session, routed.needed)
                 await self._rate_limiter.ensure_token(admission)
                 self._check_still_primary(routed, row, admission)
                 query = routed.query(connection)
@@ -210,7 +210,7 @@
         try:
             with self._read_timeouts.limit(routed.until, soft_deadline, can_run_elsewhere):
                 connection = await self._selector.connect(routed, row)
-                await connection.take_on(routed.session, routed.needed)
+                await connection.apply_session(routed.session, routed.needed)
                 await self._rate_limiter.ensure_token(admission)
                 asked_at = trio.current_time()
                 reply = await connection.ask(routed.query(connection, after))
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -117,7 +117,7 @@
         if not self._bind_workspace(session, route):
             return self._refuse_unknown_key(session)
         if self._forwarder is not None:
-            reply = await self._forwarder.single(session, route, statement, arrived_at)
+            reply = await self._forwarder.forward_autocommit(session, route, statement, arrived_at)
             if reply is not None:
                 return reply
         return await self._autocommit.run(session, route, statement, arrived_at)
@@ -130,7 +130,7 @@
         arrived_at: float,
     ) -> Reply:
         if self._forwarder is not None and transaction.connection is None:
-            reply = await self._forwarder.in_transaction(
+            reply = await self._forwarder.forward_in_transaction(
                 session, transaction, statement, arrived_at
             )
             if reply is not None:
@@ -191,4 +191,4 @@
         transaction = session.transaction
         self._transactions.fail(session)
         if self._forwarder is not None and transaction is not None:
-            self._forwarder.end_remote(transaction)
+            self._forwarder.roll_back_remote(transaction)
--- a/wharftiller/daemons/sessions/serving/transactions.py
+++ b/wharftiller/daemons/sessions/serving/transactions.py
@@ -164,7 +164,7 @@
         sent = False
         try:
             with trio.move_on_at(routed.until):
-                await connection.take_on(routed.session, routed.needed, may_reset=False)
+                await connection.apply_session(routed.session, routed.needed, may_reset=False)
                 query = routed.query(connection)
                 transaction.wrote |= routed.writes
                 sent = True
--- a/wharftiller/platform/endpoints.py
+++ b/wharftiller/platform/endpoints.py
@@ -8,7 +8,7 @@
 
 from wharftiller.core.errors import EndpointRefusedError, ExchangeError
 from wharftiller.core.sessions.statements import EndpointQuery, RefusalKind, StatusQuery
-from wharftiller.daemons.sessions.connections.relay import open_through
+from wharftiller.daemons.sessions.connections.relay import open_via_relay
 from wharftiller.edges.transport import reset_on_close
 from wharftiller.platform.wire import (
     LineReader,
@@ -85,7 +85,7 @@
         if via is None:
             stream = await self._transport.connect(entry.address)
         else:
-            stream = await open_through(self._transport, via, entry.address)
+            stream = await open_via_relay(self._transport, via, entry.address)
         connection: LineConnection | None = None
         try:
             connection = await self._handshake(stream, entry, workspace or self._box)
--- a/wharftiller/tests/daemons/sessions/connections/test_pool.py
+++ b/wharftiller/tests/daemons/sessions/connections/test_pool.py
@@ -231,12 +231,12 @@
             connection.values["zone"] = "north"
             caller = session()
             caller.values.update(lang="hu", unit="mm")
-            await connection.take_on(caller, self.SHAPE)
+            await connection.apply_session(caller, self.SHAPE)
             reset, *values, prepare = link.writes[0]
             assert reset == ResetSession()
             assert values == [SetValue("lang", "hu"), SetValue("unit", "mm")]
             assert prepare == Prepare("p1", self.SHAPE)
-            await connection.take_on(caller, self.SHAPE)
+            await connection.apply_session(caller, self.SHAPE)
             assert len(link.writes) == 1
 
         run(scenario)
@@ -258,7 +258,7 @@
             caller = session()
             caller.values["lang"] = "hu"
             with pytest.raises(ExchangeError):
-                await connection.take_on(caller, None)
+                await connection.apply_session(caller, None)
             assert connection.broken
             assert connection.values == {}
 
@@ -270,7 +270,7 @@
             before = connection.pool.row.service_s
             caller = session()
             caller.values["lang"] = "hu"
-            await connection.take_on(caller, self.SHAPE)
+            await connection.apply_session(caller, self.SHAPE)
             assert connection.pool.row.service_s == before
 
         run(scenario)
--- a/wharftiller/tests/platform/test_failovers.py
+++ b/wharftiller/tests/platform/test_failovers.py
@@ -7,7 +7,7 @@
 from standins.object_store import StoreMode
 from wharftiller.core.leadership.failover import UNREACHABLE_S
 from wharftiller.core.leadership.lease import LEASE_S
-from wharftiller.daemons.sessions.connections.probes import PROBE_S, QUIET_PRIMARY_S
+from wharftiller.daemons.sessions.connections.probes import PROBE_POLL_S, QUIET_PRIMARY_S
 from wharftiller.tests.platform.world import (
     STORE_IP,
     World,
@@ -40,7 +40,7 @@
             while not group.promotions:
                 await trio.sleep(0.01)
             # No statement detects the loss: a probe does, and 0.3 s pass between checks.
-            probed_at = killed_at + QUIET_PRIMARY_S + PROBE_S
+            probed_at = killed_at + QUIET_PRIMARY_S + PROBE_POLL_S
             assert trio.current_time() - probed_at < UNREACHABLE_S + 0.3
 
         run_in_world(scenario, boxes=8)
--- a/wharftiller/tests/platform/test_gateways.py
+++ b/wharftiller/tests/platform/test_gateways.py
@@ -37,7 +37,7 @@
     return gateways[0]
 
 
-def others_in(world: World, centre: str) -> list[BoxProcess]:
+def forwarding_boxes(world: World, centre: str) -> list[BoxProcess]:
     """Return the boxes of a data centre that forward their statements."""
     gateway = gateway_of(world, centre)
     return [
@@ -69,7 +69,7 @@
 
     def test_a_forwarded_reply_is_the_endpoints_own(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(others_in(world, "a")[0], "read_own_writes")
+            caller = await world.call(forwarding_boxes(world, "a")[0], "read_own_writes")
             written = await caller.ask("WRITE seat7 anna", "id-1")
             primary = world.groups[0].primary
             assert written[1] == f"COMPLETE {proof(primary, 'id-1', 'WRITE seat7 anna')}"
@@ -79,7 +79,7 @@
 
     def test_values_and_prepared_names_are_forwarded_with_the_statement(self) -> None:
         async def scenario(world: World) -> None:
-            box, other = others_in(world, "a")
+            box, other = forwarding_boxes(world, "a")
             one, two = await world.call(box, "primary"), await world.call(other, "primary")
             await one.ask("SET colour red")
             await one.ask("PREPARE s READ shape")
@@ -93,7 +93,7 @@
 
     def test_a_transaction_runs_whole_on_one_connection(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(others_in(world, "b")[0], "primary")
+            caller = await world.call(forwarding_boxes(world, "b")[0], "primary")
             await caller.ask("BEGIN")
             assert (await caller.ask("WRITE seat1 anna"))[-1].startswith("READY T")
             await caller.ask("WRITE seat2 boris")
@@ -109,12 +109,12 @@
     @pytest.mark.parametrize("leaves", ["by closing", "with its box"])
     def test_a_transaction_whose_caller_is_gone_is_rolled_back(self, leaves: str) -> None:
         async def scenario(world: World) -> None:
-            box = others_in(world, "b")[0]
+            box = forwarding_boxes(world, "b")[0]
             gateway = gateway_of(world, "b")
             caller = await world.call(box, "primary")
             await caller.ask("BEGIN")
             await caller.ask("WRITE seat1 anna")
-            executor = gateway.process.proxy._for_others  # type: ignore[union-attr]
+            executor = gateway.process.proxy._executor  # type: ignore[union-attr]
             assert executor.count == 1
             if leaves == "by closing":
                 caller.close()
@@ -129,7 +129,7 @@
 
     def test_when_a_gateway_is_killed_another_serves(self) -> None:
         async def scenario(world: World) -> None:
-            box = others_in(world, "a")[0]
+            box = forwarding_boxes(world, "a")[0]
             caller = await world.call(box, "primary")
             await caller.ask("WRITE seat1 anna")
             await world.kill_box(gateway_of(world, "a"))
@@ -142,7 +142,7 @@
 
     def test_a_box_runs_statements_itself_when_all_gateways_near_it_are_lost(self) -> None:
         async def scenario(world: World) -> None:
-            box, other = others_in(world, "a")
+            box, other = forwarding_boxes(world, "a")
             caller = await world.call(box, "primary")
             await caller.ask("WRITE seat1 anna")
             await world.kill_box(gateway_of(world, "a"))
@@ -155,7 +155,7 @@
     def test_a_write_is_unknown_when_its_gateway_becomes_unreachable(self) -> None:
         async def scenario(world: World) -> None:
             world.groups[0].work_s = 0.3
-            box = others_in(world, "a")[0]
+            box = forwarding_boxes(world, "a")[0]
             caller = await world.call(box, "primary")
             await caller.send(b"QUERY id-1 WRITE seat1 anna\r\n")
             await trio.sleep(0.1)
@@ -172,7 +172,7 @@
 
     def test_a_read_goes_to_another_gateway_when_its_gateway_is_unreachable(self) -> None:
         async def scenario(world: World) -> None:
-            box = others_in(world, "a")[0]
+            box = forwarding_boxes(world, "a")[0]
             caller = await world.call(box, "bounded_staleness")
             await caller.ask("READ seat1")
             gateway = gateway_of(world, "a")
@@ -183,7 +183,7 @@
 
     def test_a_planned_stop_of_a_gateway_refuses_no_statement(self) -> None:
         async def scenario(world: World) -> None:
-            box = others_in(world, "a")[0]
+            box = forwarding_boxes(world, "a")[0]
             callers = [await world.call(box, "primary") for _ in range(4)]
             gateway = gateway_of(world, "a")
             refused: list[list[str]] = []
@@ -207,7 +207,7 @@
     def test_a_dead_primary_is_replaced_by_its_gateways(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(others_in(world, "c")[0], "primary")
+            caller = await world.call(forwarding_boxes(world, "c")[0], "primary")
             await caller.ask("WRITE seat1 anna")
             await trio.sleep(0.2)
             world.kill_server(group.primary)
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -9,7 +9,7 @@
 import trio
 
 from standins.object_store import StoreMode
-from wharftiller.daemons.sessions.forwarding.gateways import AVOIDED_S
+from wharftiller.daemons.sessions.forwarding.gateways import SKIPPED_S
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
 from wharftiller.tests.platform.world import (
     BoxProcess,
@@ -79,7 +79,7 @@
             world.store.mode = StoreMode.AWAY
             await trio.sleep(OUTAGE_S)
             await world.kill_box(gateway)
-            assert await write_until_done(caller, "WRITE seat1 x", AVOIDED_S) < 1.0
+            assert await write_until_done(caller, "WRITE seat1 x", SKIPPED_S) < 1.0
 
         run_in_world(scenario, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
 
@@ -98,7 +98,7 @@
             world.store.mode = StoreMode.AWAY
             await world.kill_box(gateway)
             gateway = await world.start_box(int(gateway.name.removeprefix("box-")))
-            await trio.sleep(AVOIDED_S + 1.0)
+            await trio.sleep(SKIPPED_S + 1.0)
             caller = await world.call(gateway if caller_at == "the gateway" else other, "primary")
             started = trio.current_time()
             for number in range(10):
--- a/wharftiller/tests/platform/test_whole_path.py
+++ b/wharftiller/tests/platform/test_whole_path.py
@@ -137,7 +137,7 @@
                 await caller.ask("WRITE seat1 anna")
             pool = box.process.proxy.state.endpoints.pools["seats-0"]  # type: ignore[union-attr]
             for _ in range(6):
-                pool.note_busy()
+                pool.record_busy()
                 await trio.sleep(0.2)
             caller = await world.call(box, "primary")
             started = trio.current_time()
@@ -177,7 +177,7 @@
                 took_s[answer[0] == "ROW none"].append(trio.current_time() - started)
 
             for _ in range(20):
-                pool.note_busy()
+                pool.record_busy()
                 await trio.sleep(0.2)
             for _ in range(3):
                 async with trio.open_nursery() as nursery:
--- a/wharftiller/tests/platform/test_workspaces.py
+++ b/wharftiller/tests/platform/test_workspaces.py
@@ -22,7 +22,7 @@
 )
 from wharftiller.edges.http_client import HttpClient
 from wharftiller.platform.objects import decode_configuration
-from wharftiller.tests.platform.test_gateways import others_in
+from wharftiller.tests.platform.test_gateways import forwarding_boxes
 from wharftiller.tests.platform.world import (
     GROUP,
     BoxProcess,
@@ -76,7 +76,7 @@
 
     def test_forwarded_statements_keep_their_workspace(self) -> None:
         async def scenario(world: World) -> None:
-            box = others_in(world, "a")[0]
+            box = forwarding_boxes(world, "a")[0]
             for key, name in [(RILA, "rila"), (VITOSHA, "vitosha"), (RILA, "rila")]:
                 caller = await world.call(box, "primary", key=key)
                 await caller.ask("BEGIN")
