--- a/wharftiller/core/leadership/read_schedule.py
+++ b/wharftiller/core/leadership/read_schedule.py
@@ -91,7 +91,7 @@
         Age of the newest known read of any box, in seconds.
     platform_answers : bool
         Whether the platform answered the last read.
-    is_asked : bool
+    may_be_asked : bool
         Whether other boxes may request its reads.
     """
 
@@ -102,12 +102,12 @@
     renewed: bool
     known_age_s: float
     platform_answers: bool = True
-    is_asked: bool = True
+    may_be_asked: bool = True
 
 
 def read_is_due(inputs: ReadScheduleInputs, intervals: ReadIntervals) -> bool:
     """Return whether to read now."""
-    if inputs.by_data_centre and not inputs.platform_answers and not inputs.is_asked:
+    if inputs.by_data_centre and not inputs.platform_answers and not inputs.may_be_asked:
         return inputs.since_s >= AWAY_READ_S
     if inputs.misses_lease and inputs.since_s >= MISSING_LEASE_READ_S and inputs.platform_answers:
         return True
--- a/wharftiller/daemons/sessions/interfaces.py
+++ b/wharftiller/daemons/sessions/interfaces.py
@@ -79,7 +79,7 @@
         Every registered box, this one included.
     revision : int
         The platform's revision at the read; every change on the platform raises it.
-    marks : dict of str to int
+    tombstones : dict of str to int
         Revision of the entry of every tombstoned box; empty if another box supplied the
         snapshot.
     revisions : dict of str to int
@@ -89,7 +89,7 @@
     record: LeadershipRecord
     boxes: dict[str, Box]
     revision: int = 0
-    marks: dict[str, int] = attrs.field(factory=dict)
+    tombstones: dict[str, int] = attrs.field(factory=dict)
     revisions: dict[str, int] = attrs.field(factory=dict)
 
 
@@ -104,8 +104,8 @@
         """Resume or pause the watches; while paused, another box sends the changes."""
         ...
 
-    def read_missed(self, listing: PlatformSnapshot) -> None:
-        """Read again whatever the watches have not delivered up to the revision of ``listing``.
+    def read_missed(self, snapshot: PlatformSnapshot) -> None:
+        """Read again whatever the watches have not delivered up to the revision of ``snapshot``.
 
         Watches may miss changes for a while.
         """
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -246,8 +246,10 @@
     async def _is_reachable_elsewhere(
         self, group: str, endpoint: str, queried: list[Box] | None
     ) -> bool:
-        await self._directory.round(check=(endpoint,), among=queried)
-        reaching = [n for n, reply in self._directory.replies.items() if endpoint in reply.hears]
+        await self._directory.renew_leases(check=(endpoint,), among=queried)
+        reaching = [
+            n for n, reply in self._directory.replies.items() if endpoint in reply.reachable
+        ]
         if reaching:
             self._reachable_elsewhere_at[group] = trio.current_time()
             self._state.log.event("primary_heard_elsewhere", endpoint=endpoint, others=reaching)
@@ -284,7 +286,7 @@
         """Query the box that holds a failover, to learn whether it runs and in which process."""
         box = self._directory.boxes.get(name)
         among = [] if box is None else [box]
-        await self._directory.round(no_older_than_s=TAKE_OVER_POLL_S, among=among)
+        await self._directory.renew_leases(no_older_than_s=TAKE_OVER_POLL_S, among=among)
 
     def _holder_restarted(self, holder: str) -> bool:
         """Return whether the holder's box now runs another process."""
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -25,7 +25,7 @@
 RELEASE_BEFORE_END_S = 0.4
 """Time before the expiry of unresponsive boxes' leases to request releases, in seconds.
 
-Enough for a few statements to end; an open transaction may take `QUIET_WAIT_S`.
+Enough for a few statements to end; an open transaction may take `WRITES_WAIT_S`.
 """
 
 
@@ -65,7 +65,7 @@
             await self._wait_beside_unresponsive(won_at, pending)
         async with trio.open_nursery() as nursery:
             # All boxes at once: each first lets its writes end, for up to a second.
-            nursery.start_soon(self._server.stop_using, record)
+            nursery.start_soon(self._server.release_leases, record)
             has_old_member = await self._request_releases(pending, record)
         while True:
             answering = self._answering_lost_primaries(record, won_at)
@@ -80,7 +80,7 @@
 
     async def _wait_beside_unresponsive(self, won_at: float, others: dict[str, Box]) -> None:
         """Delay the release by the others for most of the wait for unresponsive boxes."""
-        await self._directory.round()
+        await self._directory.renew_leases()
         if others.keys() - self._directory.replies.keys():
             await trio.sleep_until(won_at + LEASE_S - RELEASE_BEFORE_END_S)
 
@@ -96,7 +96,7 @@
         except PlatformUnavailableError as error:
             self._state.log.event("boxes_not_listed", why=str(error))
             return False
-        return self._snapshots.take(snapshot, asked_at)
+        return self._snapshots.apply(snapshot, asked_at)
 
     def _answering_lost_primaries(self, record: LeadershipRecord, won_at: float) -> list[str]:
         """Return the groups whose lost primary answers again and may go on leading."""
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -26,7 +26,7 @@
     from wharftiller.daemons.sessions.membership.tombstones import Tombstones
     from wharftiller.daemons.sessions.state import SharedState
 
-QUIET_WAIT_S = 1.0
+WRITES_WAIT_S = 1.0
 """Time that in-flight writes get to end before a planned failover, in seconds."""
 
 BOX_START_S = 2.0
@@ -175,11 +175,11 @@
         record = self._state.leases.record
         if record.revision < value["revision"] or not record.failovers:
             return {"stopped": False}
-        await self.stop_using(record)
+        await self.release_leases(record)
         listed_s = self._directory.listed_s(trio.current_time())
         return {"stopped": True, "listed_ms": int(listed_s * 1000)}
 
-    async def stop_using(self, record: LeadershipRecord) -> None:
+    async def release_leases(self, record: LeadershipRecord) -> None:
         """Release the leases on primaries being replaced; if planned, once writes have ended."""
         leases = self._state.leases
         for group, failover in record.failovers.items():
@@ -192,7 +192,7 @@
         self._state.wake()
 
     async def _wait_for_writes(self, group: str) -> None:
-        """Wait until this box's writes in ``group`` have ended, for `QUIET_WAIT_S` at most."""
-        with trio.move_on_after(QUIET_WAIT_S):
+        """Wait until this box's writes in ``group`` have ended, for `WRITES_WAIT_S` at most."""
+        with trio.move_on_after(WRITES_WAIT_S):
             while not self._state.work.is_idle(group):
                 await self._state.wait_for_change()
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -64,7 +64,7 @@
     ----------
     platform_answers : bool
         Whether its last read of the platform succeeded.
-    hears : frozenset of str
+    reachable : frozenset of str
         The primaries that it can reach directly.
     """
 
@@ -72,7 +72,7 @@
     platform_answers: bool
     incarnation: str
     state_versions: StateVersions
-    hears: frozenset[str]
+    reachable: frozenset[str]
 
 
 class BoxDirectory:
@@ -151,7 +151,7 @@
                 listed=listed,
             )
 
-    async def round(
+    async def renew_leases(
         self,
         *,
         no_older_than_s: float = 0.0,
@@ -253,7 +253,7 @@
 
     def relay_to(self, endpoint: str) -> str | None:
         """Return the relay address of a box that reaches ``endpoint``, preferably a near one."""
-        reaching = [n for n, reply in self.replies.items() if endpoint in reply.hears]
+        reaching = [n for n, reply in self.replies.items() if endpoint in reply.reachable]
         near = [n for n in reaching if self._is_near(n)]
         for name in ranked(self._state.box + endpoint, near or reaching):
             box = self.boxes.get(name)
--- a/wharftiller/daemons/sessions/membership/peer_sync.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -33,7 +33,7 @@
 CURRENT_FRACTION = 0.6
 """Maximum age of a peer's read, as a fraction of the time in which a configuration is in force.
 
-The rest (0.4) is for this box's own listing of the platform.
+The rest (0.4) is for this box's own read of the platform.
 """
 
 CURRENT_MARGIN_S = 1.0
@@ -103,7 +103,7 @@
         """Whether a peer sent state from a recent read of the platform."""
         return trio.current_time() - self._read_at < self._current_age_s
 
-    def known(self, request: Any) -> dict[str, Any]:
+    def state_for(self, request: Any) -> dict[str, Any]:
         """Return the part of this box's state that another box lacks, as JSON.
 
         Parameters
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -1,7 +1,7 @@
 """Readers: in large deployments one box per data centre reads the platform for the others.
 
 In a small deployment each box asks every other once a second. The cost grows with the
-square of the number of boxes, so from `MANY_BOXES` on each box asks only a reader, which
+square of the number of boxes, so from `READERS_MIN_BOXES` on each box asks only a reader, which
 returns its newest snapshot of the platform and the snapshot's age. A snapshot that lists the
 requesting box renews its leases as a read of its own does. Boxes ask all others only while
 the platform is unavailable.
@@ -28,7 +28,7 @@
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
-MANY_BOXES = 16
+READERS_MIN_BOXES = 16
 """Number of other boxes from which readers are used instead of renewals by all boxes."""
 
 READERS_TRIED = 4
@@ -215,7 +215,7 @@
     @property
     def applies(self) -> bool:
         """Whether the deployment is large enough for readers."""
-        return len(self._directory.boxes) >= MANY_BOXES
+        return len(self._directory.boxes) >= READERS_MIN_BOXES
 
     def readers(self) -> list[Box]:
         """Return the candidate readers of this box's data centre by rank, this box included."""
@@ -227,11 +227,11 @@
         return self.readers()[0].name == self._box.name
 
     @property
-    def is_asked(self) -> bool:
+    def may_be_asked(self) -> bool:
         """Whether other boxes of this data centre may ask this one for its snapshots."""
         return self._box in self.readers()[:READERS_TRIED]
 
-    def followers(self) -> list[Box]:
+    def watchers(self) -> list[Box]:
         """Return the other boxes that watch the platform: only the readers, if readers are used.
 
         The others receive changes from their reader within a second.
--- a/wharftiller/daemons/sessions/membership/shared_reads.py
+++ b/wharftiller/daemons/sessions/membership/shared_reads.py
@@ -106,7 +106,7 @@
             renewed=self._receives_updates,
             known_age_s=now - self._directory.platform_read_at,
             platform_answers=self._platform_answers is not False,
-            is_asked=self._readers.is_asked,
+            may_be_asked=self._readers.may_be_asked,
         )
 
     async def choose_watches(self) -> None:
@@ -120,7 +120,7 @@
 
     def _should_follow(self) -> bool:
         """Return whether to watch the platform, as no other box sends its changes."""
-        if self._readers.applies and not self._readers.is_asked and not self._platform_answers:
+        if self._readers.applies and not self._readers.may_be_asked and not self._platform_answers:
             # The platform would not answer; boxes that it answers send their state.
             return False
         behind_reader = self._readers.applies and not self._readers.is_reader
@@ -148,9 +148,9 @@
             return
         self._set_platform_answers(True)
         self._snapshot_server.store(snapshot, asked_at)
-        self._retirement.update(self._snapshot_applier.others(snapshot), asked_at)
+        self._retirement.update(self._snapshot_applier.other_boxes(snapshot), asked_at)
         was_unlisted = self._directory.listed_since is None
-        self._snapshot_applier.take(snapshot, asked_at)
+        self._snapshot_applier.apply(snapshot, asked_at)
         if was_unlisted and self._readers.applies:
             # Ask the reader at once: its state is needed before it lists this box.
             self._state.check_soon.set()
--- a/wharftiller/daemons/sessions/membership/snapshots.py
+++ b/wharftiller/daemons/sessions/membership/snapshots.py
@@ -23,7 +23,7 @@
         self._tombstones = tombstones
         self._box = box
 
-    def others(self, snapshot: PlatformSnapshot) -> dict[str, Box]:
+    def other_boxes(self, snapshot: PlatformSnapshot) -> dict[str, Box]:
         """Return the other boxes of ``snapshot``."""
         return {name: box for name, box in snapshot.boxes.items() if name != self._box.name}
 
@@ -31,7 +31,7 @@
         """Return whether ``snapshot`` lists this process without a tombstone."""
         return snapshot.boxes.get(self._box.name) == self._box
 
-    def take(self, snapshot: PlatformSnapshot, asked_at: float) -> bool:
+    def apply(self, snapshot: PlatformSnapshot, asked_at: float) -> bool:
         """Apply a snapshot that was requested at ``asked_at`` (seconds).
 
         Returns
@@ -39,9 +39,9 @@
         bool
             Whether it lists this process; only then does the read renew leases.
         """
-        others = self.others(snapshot)
+        others = self.other_boxes(snapshot)
         self._directory.replace_list(others)
-        self._tombstones.replace(snapshot.marks)
+        self._tombstones.replace(snapshot.tombstones)
         if not self.holds_this_process(snapshot):
             self._directory.listed_since = None
             return False
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -148,7 +148,7 @@
         self._drain = Drain(self.sessions, self._executor)
         snapshot_server = SnapshotServer(self.state, incarnation)
         snapshot_client = self._snapshot_client = SnapshotClient(
-            self.state, self._directory, self._box, snapshots.take
+            self.state, self._directory, self._box, snapshots.apply
         )
         self._prober = Prober(self.state, self._directory, dialer, nursery)
         self._peer_sync = PeerSync(
@@ -164,7 +164,7 @@
             self._directory,
             tombstones,
             snapshot_server,
-            self._peer_sync.known,
+            self._peer_sync.state_for,
             self._prober.check,
             self._executor,
             self._token_server,
@@ -197,7 +197,7 @@
             UnverifiedPrimaries(self.state, writer, successors),
         )
         self._isolation = IsolationWatch(self.state, self._directory, self.sessions)
-        self._watches = watches(self.state, self._notify_followers)
+        self._watches = watches(self.state, self._notify_watchers)
         self._lease_renewer = LeaseRenewer(
             self.state,
             self._directory,
@@ -266,9 +266,9 @@
         page = metrics_page(self.state.metrics, gauges)
         return HttpResponse(200, page)
 
-    def _notify_followers(self) -> None:
+    def _notify_watchers(self) -> None:
         """Notify the boxes that follow this one of a change that the watches had missed."""
-        self._nursery.start_soon(self._directory.notify_change, self._snapshot_client.followers())
+        self._nursery.start_soon(self._directory.notify_change, self._snapshot_client.watchers())
 
     # Maintenance and stopping -------------------------------------------
 
--- a/wharftiller/platform/watches.py
+++ b/wharftiller/platform/watches.py
@@ -208,14 +208,14 @@
             if watcher.is_wanted != wanted:
                 watcher.follow(wanted)
 
-    def read_missed(self, listing: PlatformSnapshot) -> None:
+    def read_missed(self, snapshot: PlatformSnapshot) -> None:
         """List the objects again if changes up to the snapshot's revision were missed."""
         assert self._nursery is not None
-        self._tracker.record_list(listing.revisions, listing.revision)
-        if self._tracker.misses(listing.revision):
-            self._nursery.start_soon(self._list_missed, listing.revision)
+        self._tracker.record_list(snapshot.revisions, snapshot.revision)
+        if self._tracker.misses(snapshot.revision):
+            self._nursery.start_soon(self._list_missed, snapshot.revision)
         else:
-            self._tracker.settle(listing.revision)
+            self._tracker.settle(snapshot.revision)
 
     async def _list_missed(self, revision: int) -> None:
         """List again unless the watches return all changes up to ``revision`` shortly."""
--- a/wharftiller/tests/core/leadership/test_read_schedule.py
+++ b/wharftiller/tests/core/leadership/test_read_schedule.py
@@ -49,10 +49,10 @@
             ({"by_data_centre": True, "reads_for_others": True}, True),
             ({"platform_answers": False, "renewed": False}, True),
             ({"platform_answers": False, "misses_lease": True, "since_s": 0.5}, False),
-            ({**PLATFORM_UNAVAILABLE, "is_asked": True}, True),
-            ({**PLATFORM_UNAVAILABLE, "is_asked": False}, False),
-            ({**PLATFORM_UNAVAILABLE, "is_asked": False, "misses_lease": True}, False),
-            ({**PLATFORM_UNAVAILABLE, "is_asked": False, "since_s": AWAY_READ_S}, True),
+            ({**PLATFORM_UNAVAILABLE, "may_be_asked": True}, True),
+            ({**PLATFORM_UNAVAILABLE, "may_be_asked": False}, False),
+            ({**PLATFORM_UNAVAILABLE, "may_be_asked": False, "misses_lease": True}, False),
+            ({**PLATFORM_UNAVAILABLE, "may_be_asked": False, "since_s": AWAY_READ_S}, True),
         ],
     )
     def test_it_is_due_when_nobody_reads_for_this_box(
--- a/wharftiller/tests/platform/test_readers.py
+++ b/wharftiller/tests/platform/test_readers.py
@@ -26,7 +26,7 @@
 @pytest.fixture(autouse=True)
 def _large(monkeypatch: pytest.MonkeyPatch) -> None:
     """Use readers in a deployment of nine boxes."""
-    monkeypatch.setattr(readers, "MANY_BOXES", 4)
+    monkeypatch.setattr(readers, "READERS_MIN_BOXES", 4)
 
 
 def reader_names(world: World) -> list[str]:
@@ -133,10 +133,10 @@
     def test_state_that_the_peer_has_is_not_sent(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """A change of endpoints must not send the configuration to every box."""
         replies: list[dict[str, Any]] = []
-        known = PeerSync.known
+        state_for = PeerSync.state_for
 
         def recording(peer_sync: PeerSync, request: Any) -> dict[str, Any]:
-            replies.append(known(peer_sync, request))
+            replies.append(state_for(peer_sync, request))
             return replies[-1]
 
         async def scenario(world: World) -> None:
@@ -154,7 +154,7 @@
                 row = box.process.proxy.state.endpoints.rows[leaving.name]
                 assert row.leaving_since is not None
 
-        monkeypatch.setattr(PeerSync, "known", recording)
+        monkeypatch.setattr(PeerSync, "state_for", recording)
         run_in_world(scenario, boxes=BOXES)
 
     def test_changes_received_by_watch_cause_no_listing(
--- a/wharftiller/tests/platform/test_restored_platform.py
+++ b/wharftiller/tests/platform/test_restored_platform.py
@@ -233,7 +233,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Three of the nine boxes read the platform for the others."""
-        monkeypatch.setattr(readers, "MANY_BOXES", 4)
+        monkeypatch.setattr(readers, "READERS_MIN_BOXES", 4)
 
         async def scenario(world: World) -> None:
             old = world.groups[0].primary
--- a/wharftiller/tests/platform/test_starts.py
+++ b/wharftiller/tests/platform/test_starts.py
@@ -56,7 +56,7 @@
 
 class TestOneOfMany:
     def test_it_syncs_from_peers(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(readers, "MANY_BOXES", 4)
+        monkeypatch.setattr(readers, "READERS_MIN_BOXES", 4)
 
         async def scenario(world: World) -> None:
             await trio.sleep(5)
@@ -77,7 +77,7 @@
         self, reader_answers: bool, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """The seeds still have an old configuration."""
-        monkeypatch.setattr(readers, "MANY_BOXES", 4)
+        monkeypatch.setattr(readers, "READERS_MIN_BOXES", 4)
 
         async def scenario(world: World) -> None:
             await trio.sleep(5)
