--- a/wharftiller/core/sessions/connection_limits.py
+++ b/wharftiller/core/sessions/connection_limits.py
@@ -63,20 +63,20 @@
     ----------
     descriptors : int
         Descriptors that the process may have open.
-    kept_for_files : int
+    reserved_for_files : int
         Descriptors among them that are reserved for files.
     memory_mb : float
         Memory that the process may use, in MB.
     """
 
     descriptors: int = 4_096
-    kept_for_files: int = 0
+    reserved_for_files: int = 0
     memory_mb: float = 300.0
 
     @property
     def connections(self) -> int:
         """Number of connections of every kind that may be open at once."""
-        return self.descriptors - self.kept_for_files
+        return self.descriptors - self.reserved_for_files
 
     def check(self) -> None:
         """Check that a box can run within these limits.
@@ -86,11 +86,11 @@
         TooFewDescriptorsError
             If there are too few descriptors; the message names the number needed.
         """
-        needed = self.kept_for_files + MIN_OWN_DESCRIPTORS + MIN_CALLERS
+        needed = self.reserved_for_files + MIN_OWN_DESCRIPTORS + MIN_CALLERS
         if self.descriptors < needed:
             raise TooFewDescriptorsError(
                 f"{self.descriptors} descriptors are allowed, {needed} are needed:"
-                f" {self.kept_for_files} for files,"
+                f" {self.reserved_for_files} for files,"
                 f" {MIN_OWN_DESCRIPTORS} for other boxes and endpoints,"
                 f" {MIN_CALLERS} for callers; raise the limit"
             )
--- a/wharftiller/core/sessions/isolation.py
+++ b/wharftiller/core/sessions/isolation.py
@@ -75,14 +75,14 @@
 
 
 @attrs.frozen
-class Begin:
+class EnterIsolation:
     """Isolate the box from the data centres ``silent``."""
 
     silent: frozenset[str]
 
 
 @attrs.frozen
-class End:
+class LeaveIsolation:
     """End the isolation and accept new sessions again."""
 
 
@@ -98,7 +98,7 @@
     groups: frozenset[str]
 
 
-Step = Unchanged | Begin | End | ShedSessions
+Step = Unchanged | EnterIsolation | LeaveIsolation | ShedSessions
 
 
 @attrs.define
@@ -143,7 +143,7 @@
         self.since = inputs.now
         self.silent = inputs.silent
         self.has_shed = False
-        return Begin(inputs.silent)
+        return EnterIsolation(inputs.silent)
 
     def _decide_to_end(self, inputs: IsolationInputs, since: float) -> Step:
         is_still_silent = self.silent <= inputs.silent
@@ -152,7 +152,7 @@
         if not is_still_silent or (reaches_others and is_overdue):
             self.has_expired = is_still_silent
             self.since = None
-            return End()
+            return LeaveIsolation()
         if self.has_shed or inputs.now - since < BALANCER_REACTION_S:
             return Unchanged()
         self.has_shed = True
--- a/wharftiller/daemons/configuration_distributor.py
+++ b/wharftiller/daemons/configuration_distributor.py
@@ -173,7 +173,7 @@
         box = self._settings.box.name
         request = ConfigurationRequest(box, self.generation, wait_ms, dict(self._in_force))
         try:
-            response = await self._clients[address].ask_configuration(request)
+            response = await self._clients[address].request_configuration(request)
         except ExchangeError:
             return False
         if response.change is not None:
--- a/wharftiller/daemons/proxy.py
+++ b/wharftiller/daemons/proxy.py
@@ -216,7 +216,7 @@
         generation = self._holder.current.generation
         request = ConfigurationRequest(box, generation, LONG_POLL_MS, {box: generation})
         try:
-            reply = await client.ask_configuration(request)
+            reply = await client.request_configuration(request)
         except ExchangeError:
             return False
         if reply.change is not None and self._holder.take_change(reply.change):
--- a/wharftiller/daemons/sessions/connections/pool.py
+++ b/wharftiller/daemons/sessions/connections/pool.py
@@ -196,7 +196,7 @@
 
     def _drop_closed(self) -> None:
         """Close idle connections that the endpoint has closed."""
-        for connection in [each for each in self._idle if not each.link.usable]:
+        for connection in [each for each in self._idle if not each.link.is_usable]:
             self._idle.remove(connection)
             self._all.discard(connection)
             connection.link.close()
--- a/wharftiller/daemons/sessions/interfaces.py
+++ b/wharftiller/daemons/sessions/interfaces.py
@@ -21,7 +21,7 @@
     """A connection to an endpoint; runs one exchange at a time."""
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether no unexpected data arrived; the endpoint may still have closed it."""
         ...
 
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -8,7 +8,13 @@
 import trio
 
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.isolation import Begin, End, Isolation, IsolationInputs, ShedSessions
+from wharftiller.core.sessions.isolation import (
+    EnterIsolation,
+    Isolation,
+    IsolationInputs,
+    LeaveIsolation,
+    ShedSessions,
+)
 
 if TYPE_CHECKING:
     from wharftiller.daemons.sessions.membership.box import Box
@@ -56,9 +62,9 @@
             inputs = attrs.evolve(self._inputs(), silent=silent)
         fields = {"unusable": sorted(inputs.unusable)}
         match self._isolation.decide(inputs):
-            case Begin(silent):
+            case EnterIsolation(silent):
                 self._state.log.change("isolated", silent=sorted(silent), **fields)
-            case End():
+            case LeaveIsolation():
                 self._state.log.change("isolation_ended", silent=sorted(silent), **fields)
             case ShedSessions(groups):
                 closed = self._sessions.shed(groups)
--- a/wharftiller/daemons/steward.py
+++ b/wharftiller/daemons/steward.py
@@ -256,6 +256,6 @@
             self._proxy_clients[address] = PeerClient(self._transport, address, self._settings.keys)
         message = PrimaryNotice(notice.group, notice.term, notice.endpoint)
         try:
-            await self._proxy_clients[address].notice_primary(message)
+            await self._proxy_clients[address].announce_primary(message)
         except ExchangeError:
             return
--- a/wharftiller/edges/peers.py
+++ b/wharftiller/edges/peers.py
@@ -89,7 +89,7 @@
         self._client = HttpClient(transport, address)
         self._headers = bearer_header(keys.mint(PEER, PEER))
 
-    async def ask_configuration(self, request: ConfigurationRequest) -> ConfigurationReply:
+    async def request_configuration(self, request: ConfigurationRequest) -> ConfigurationReply:
         """Request what is newer than ``request.generation`` from a steward.
 
         Raises
@@ -106,7 +106,7 @@
         )
         return from_peer(answer.json(), ConfigurationReply)
 
-    async def notice_primary(self, notice: PrimaryNotice) -> None:
+    async def announce_primary(self, notice: PrimaryNotice) -> None:
         """Announce a group's primary to a proxy.
 
         Raises
--- a/wharftiller/platform/__main__.py
+++ b/wharftiller/platform/__main__.py
@@ -123,9 +123,9 @@
         async for number in signals:
             if number != signal.SIGHUP:
                 return
-            self._reload()
+            self._recheck_settings()
 
-    def _reload(self) -> None:
+    def _recheck_settings(self) -> None:
         """Check the settings file and log the result; changes apply at the next start only."""
         try:
             changed = load_settings(self._path) != self._settings
--- a/wharftiller/platform/endpoints.py
+++ b/wharftiller/platform/endpoints.py
@@ -35,7 +35,7 @@
         self._reader = reader
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether no unexpected bytes arrived; the endpoint may still have closed it."""
         if self._reader.buffered:
             return False
--- a/wharftiller/platform/settings.py
+++ b/wharftiller/platform/settings.py
@@ -103,7 +103,7 @@
 
     limits = BoxLimits(
         descriptors=int(number("MaxFds", defaults.descriptors)),
-        kept_for_files=RESERVED_FOR_FILES,
+        reserved_for_files=RESERVED_FOR_FILES,
         memory_mb=number("MemoryMb", defaults.memory_mb),
     )
     limits.check()
--- a/wharftiller/platform/wire.py
+++ b/wharftiller/platform/wire.py
@@ -61,7 +61,7 @@
 }
 """The protocol's error codes; an unknown code is parsed as `RefusalKind.OTHER`."""
 
-CODES = {kind: code for code, kind in REFUSAL_KINDS.items()} | {RefusalKind.OTHER: "FAILED"}
+REFUSAL_CODES = {kind: code for code, kind in REFUSAL_KINDS.items()} | {RefusalKind.OTHER: "FAILED"}
 """Error codes sent to callers."""
 
 SESSION_STATES = {
@@ -281,7 +281,7 @@
 
 def encode_refusal(refusal: Refusal) -> bytes:
     """Return the line of a refusal."""
-    return encode(f"ERROR {CODES[refusal.kind]} {refusal.detail}\r\n")
+    return encode(f"ERROR {REFUSAL_CODES[refusal.kind]} {refusal.detail}\r\n")
 
 
 def parse_status(reply: Reply) -> EndpointStatus | None:
--- a/wharftiller/tests/core/sessions/test_isolation.py
+++ b/wharftiller/tests/core/sessions/test_isolation.py
@@ -8,10 +8,10 @@
 from wharftiller.core.sessions.isolation import (
     BALANCER_REACTION_S,
     MAX_ISOLATED_S,
-    Begin,
-    End,
+    EnterIsolation,
     Isolation,
     IsolationInputs,
+    LeaveIsolation,
     ShedSessions,
     Unchanged,
 )
@@ -29,7 +29,7 @@
 
 def isolated() -> Isolation:
     isolation = Isolation()
-    assert isolation.decide(CUT_OFF) == Begin(frozenset({"b", "c"}))
+    assert isolation.decide(CUT_OFF) == EnterIsolation(frozenset({"b", "c"}))
     return isolation
 
 
@@ -61,7 +61,7 @@
 class TestEnd:
     def test_it_ends_once_one_data_centre_answers(self) -> None:
         isolation = isolated()
-        assert isolation.decide(later(1.0, silent=frozenset({"b"}))) == End()
+        assert isolation.decide(later(1.0, silent=frozenset({"b"}))) == LeaveIsolation()
         assert isolation.since is None
 
     def test_it_lasts_while_all_data_centres_are_silent(self) -> None:
@@ -72,7 +72,7 @@
     def test_it_expires_where_a_further_data_centre_is_reached(self) -> None:
         isolation = isolated()
         further = frozenset({"b", "c", "d"})
-        assert isolation.decide(later(MAX_ISOLATED_S + 1, elsewhere=further)) == End()
+        assert isolation.decide(later(MAX_ISOLATED_S + 1, elsewhere=further)) == LeaveIsolation()
         assert isolation.decide(later(MAX_ISOLATED_S + 2, elsewhere=further)) == Unchanged()
 
 
--- a/wharftiller/tests/daemons/sessions/connections/test_pool.py
+++ b/wharftiller/tests/daemons/sessions/connections/test_pool.py
@@ -46,7 +46,7 @@
 
     def __init__(self, dialer: FakeDialer) -> None:
         self._dialer = dialer
-        self.usable = True
+        self.is_usable = True
         self.refuses = False
         self.writes: list[list[EndpointBody]] = []
 
--- a/wharftiller/tests/platform/test_stops.py
+++ b/wharftiller/tests/platform/test_stops.py
@@ -115,7 +115,7 @@
             box = world.boxes["box-1"]
             caller = await world.call(box, "primary")
             for _ in range(3):
-                box.process._reload()
+                box.process._recheck_settings()
                 assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
             assert len(box.events("settings_unusable")) == 3
 
--- a/wharftiller/tests/soak/ledger.py
+++ b/wharftiller/tests/soak/ledger.py
@@ -11,10 +11,10 @@
 
 from standins.line_endpoints import LineGroup, LineServer
 from wharftiller.core.sessions.statements import RefusalKind
-from wharftiller.platform.wire import CODES
+from wharftiller.platform.wire import REFUSAL_CODES
 
 NOT_COMMITTED_CODES = frozenset(
-    CODES[kind]
+    REFUSAL_CODES[kind]
     for kind in (
         RefusalKind.NO_CAPACITY,
         RefusalKind.ROLLED_BACK,
