--- a/wharftiller/core/sessions/isolation.py
+++ b/wharftiller/core/sessions/isolation.py
@@ -24,7 +24,7 @@
 At most one side of a partition lacks more than half of them.
 """
 
-BALANCER_SEES_S = 2.3
+BALANCER_REACTION_S = 2.3
 """Time until the balancer has removed an unready box, in seconds: two failed health checks, 1 s
 apart."""
 
@@ -75,14 +75,14 @@
 
 
 @attrs.frozen
-class Begin:
+class EnterIsolation:
     """Isolate the box from the data centres ``silent``."""
 
     silent: frozenset[str]
 
 
 @attrs.frozen
-class End:
+class LeaveIsolation:
     """End the isolation and accept new sessions again."""
 
 
@@ -98,7 +98,7 @@
     groups: frozenset[str]
 
 
-Step = Unchanged | Begin | End | ShedSessions
+Step = Unchanged | EnterIsolation | LeaveIsolation | ShedSessions
 
 
 @attrs.define
@@ -122,7 +122,7 @@
     has_expired: bool = False
     has_shed: bool = False
 
-    def centres_to_ask(self, inputs: IsolationInputs) -> frozenset[str]:
+    def centres_to_probe(self, inputs: IsolationInputs) -> frozenset[str]:
         """Return the data centres to probe before `decide`."""
         if self.since is not None:
             return inputs.elsewhere
@@ -143,7 +143,7 @@
         self.since = inputs.now
         self.silent = inputs.silent
         self.has_shed = False
-        return Begin(inputs.silent)
+        return EnterIsolation(inputs.silent)
 
     def _decide_to_end(self, inputs: IsolationInputs, since: float) -> Step:
         is_still_silent = self.silent <= inputs.silent
@@ -152,8 +152,8 @@
         if not is_still_silent or (reaches_others and is_overdue):
             self.has_expired = is_still_silent
             self.since = None
-            return End()
-        if self.has_shed or inputs.now - since < BALANCER_SEES_S:
+            return LeaveIsolation()
+        if self.has_shed or inputs.now - since < BALANCER_REACTION_S:
             return Unchanged()
         self.has_shed = True
         return ShedSessions(inputs.unusable)
--- a/wharftiller/daemons/sessions/forwarding/forwarder.py
+++ b/wharftiller/daemons/sessions/forwarding/forwarder.py
@@ -13,7 +13,7 @@
 from wharftiller.core.sessions.session import RemoteTransaction
 from wharftiller.core.sessions.statements import Commit, RefusalKind, Reply, SessionState
 from wharftiller.daemons.sessions.serving.routed import (
-    MARGIN_S,
+    REPLY_MARGIN_S,
     StatementRefusedError,
     route_statement,
 )
@@ -71,7 +71,7 @@
         self._client = client
         self._nursery = nursery
 
-    async def single(
+    async def forward_autocommit(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
     ) -> Reply | None:
         """Forward an autocommit statement; return None if this box is to run it itself."""
@@ -107,7 +107,7 @@
         kind = RefusalKind.ROLLED_BACK if may_have_run else RefusalKind.NO_CAPACITY
         raise StatementRefusedError(kind, why, Cause.BOX_LOST)
 
-    async def in_transaction(
+    async def forward_in_transaction(
         self,
         session: Session,
         transaction: OpenTransaction,
@@ -123,7 +123,7 @@
                 self.drop(session, transaction)
                 return error.reply(statement, SessionState.IDLE)
             transaction.failed = True
-            self.end_remote(transaction)
+            self.roll_back_remote(transaction)
             reply = error.reply(statement, SessionState.FAILED)
         transaction.used_at = trio.current_time()
         return reply
@@ -206,9 +206,9 @@
     def drop(self, session: Session, transaction: OpenTransaction) -> None:
         """Detach ``transaction`` from its session and roll it back."""
         session.transaction = None
-        self.end_remote(transaction)
+        self.roll_back_remote(transaction)
 
-    def end_remote(self, transaction: OpenTransaction) -> None:
+    def roll_back_remote(self, transaction: OpenTransaction) -> None:
         """Roll the transaction back on its gateway, if it has begun there."""
         remote, transaction.remote = transaction.remote, None
         if remote is not None:
@@ -257,7 +257,7 @@
         self, gateway: Box, routed: RoutedStatement, message: ForwardedStatement
     ) -> ForwardedReply:
         """Return the gateway's reply; raises as `GatewayClient.forward` does."""
-        forwarded = await self._client.forward(gateway, message, routed.until + MARGIN_S)
+        forwarded = await self._client.forward(gateway, message, routed.until + REPLY_MARGIN_S)
         self._apply_reply(routed, forwarded, gateway)
         return forwarded
 
@@ -270,7 +270,7 @@
             session.unsettled.add(group)
         elif forwarded.own_write is not None:
             session.wrote(group, forwarded.own_write)
-        self._state.told_usable[group] = forwarded.primary_usable
+        self._state.gateway_usable[group] = forwarded.primary_usable
         if forwarded.lacks_lease:
             self._gateways.record_lease_missing(gateway.name)
         else:
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -110,11 +110,11 @@
         record = self._state.leases.record
         if not is_settled and not _needs_verification_only(record):
             return
-        if record.moving and record.holder == self._writer.incarnation:
+        if record.failovers and record.holder == self._writer.incarnation:
             await self._runner.advance(record)
-        elif record.moving:
+        elif record.failovers:
             if await self._may_take_over(record):
-                self._state.log.change("change_taken_over", groups=sorted(record.moving))
+                self._state.log.change("change_taken_over", groups=sorted(record.failovers))
                 await self._writer.write(self._writer.as_holder(record))
         else:
             await self._start_failovers(record)
@@ -173,7 +173,7 @@
                 failover = await self._needed_failover(group, leading)
                 if failover is not None:
                     changed = changed.with_group(group, failover)
-        if changed.moving:
+        if changed.failovers:
             await self._writer.write(changed)
 
     async def _needed_failover(self, group: str, leading: Leading) -> FailingOver | None:
@@ -212,7 +212,7 @@
         queried concurrently, as each query may take half a second.
         """
         is_reachable = False
-        queried = self._gateways.others_of([group])
+        queried = self._gateways.other_gateways_of([group])
 
         async def query_boxes() -> None:
             nonlocal is_reachable
@@ -246,8 +246,10 @@
     async def _is_reachable_elsewhere(
         self, group: str, endpoint: str, queried: list[Box] | None
     ) -> bool:
-        await self._directory.round(check=(endpoint,), among=queried)
-        reaching = [n for n, reply in self._directory.replies.items() if endpoint in reply.hears]
+        await self._directory.renew_leases(check=(endpoint,), among=queried)
+        reaching = [
+            n for n, reply in self._directory.replies.items() if endpoint in reply.reachable
+        ]
         if reaching:
             self._reachable_elsewhere_at[group] = trio.current_time()
             self._state.log.event("primary_heard_elsewhere", endpoint=endpoint, others=reaching)
@@ -260,7 +262,7 @@
         now = trio.current_time()
         if self._seen is None or self._seen.revision != record.revision:
             self._seen = _RevisionSeen(record.revision, now)
-        if not any(map(self._state.serves_group, record.moving)):
+        if not any(map(self._state.serves_group, record.failovers)):
             # If all boxes queried the holder of a failover that waits for a lease, the number of
             # requests would grow with the square of the number of boxes.
             return False
@@ -269,14 +271,14 @@
             await self._query_holder(_box_name(record.holder))
         if self._holder_restarted(record.holder):
             return seen_s > FIRST_RANK_DELAY_S
-        if any(failover.ordered for failover in record.moving.values()):
+        if any(failover.ordered for failover in record.failovers.values()):
             return seen_s > TAKE_OVER_ORDERED_S
         is_silent = _box_name(record.holder) not in self._directory.replies
         return seen_s > (TAKE_OVER_SILENT_S if is_silent else TAKE_OVER_S)
 
     def _take_over_rank(self, record: LeadershipRecord) -> int:
         """Return how many boxes that run statements of these groups act before this one."""
-        others = self._gateways.others_of(record.moving)
+        others = self._gateways.other_gateways_of(record.failovers)
         names = self._directory.live() if others is None else [box.name for box in others]
         return min(MAX_RANKS, takeover_rank(self._state.box, names, str(record.fence)))
 
@@ -284,7 +286,7 @@
         """Query the box that holds a failover, to learn whether it runs and in which process."""
         box = self._directory.boxes.get(name)
         among = [] if box is None else [box]
-        await self._directory.round(no_older_than_s=TAKE_OVER_POLL_S, among=among)
+        await self._directory.renew_leases(no_older_than_s=TAKE_OVER_POLL_S, among=among)
 
     def _holder_restarted(self, holder: str) -> bool:
         """Return whether the holder's box now runs another process."""
@@ -301,8 +303,8 @@
     This need not wait until the list of boxes is reliable: verification by the endpoints'
     statuses replaces no primary that a box may use.
     """
-    if record.moving:
-        return all(failover.old.is_unverified for failover in record.moving.values())
+    if record.failovers:
+        return all(failover.old.is_unverified for failover in record.failovers.values())
     return bool(record.unverified)
 
 
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -7,7 +7,7 @@
 import trio
 
 from wharftiller.core.errors import PlatformUnavailableError
-from wharftiller.core.leadership.lease import LEASE_S, LISTING_S
+from wharftiller.core.leadership.lease import LEASE_S, MAX_BOX_LIST_AGE_S
 
 if TYPE_CHECKING:
     from wharftiller.core.leadership.record import LeadershipRecord
@@ -25,7 +25,7 @@
 RELEASE_BEFORE_END_S = 0.4
 """Time before the expiry of unresponsive boxes' leases to request releases, in seconds.
 
-Enough for a few statements to end; an open transaction may take `QUIET_WAIT_S`.
+Enough for a few statements to end; an open transaction may take `WRITES_WAIT_S`.
 """
 
 
@@ -61,11 +61,11 @@
         if dead:
             self._state.log.change("dead_boxes_not_waited_for", boxes=dead)
         pending = {n: box for n, box in self._directory.boxes.items() if n not in dead}
-        if all(failover.planned for failover in record.moving.values()):
+        if all(failover.planned for failover in record.failovers.values()):
             await self._wait_beside_unresponsive(won_at, pending)
         async with trio.open_nursery() as nursery:
             # All boxes at once: each first lets its writes end, for up to a second.
-            nursery.start_soon(self._server.stop_using, record)
+            nursery.start_soon(self._server.release_leases, record)
             has_old_member = await self._request_releases(pending, record)
         while True:
             answering = self._answering_lost_primaries(record, won_at)
@@ -80,7 +80,7 @@
 
     async def _wait_beside_unresponsive(self, won_at: float, others: dict[str, Box]) -> None:
         """Delay the release by the others for most of the wait for unresponsive boxes."""
-        await self._directory.round()
+        await self._directory.renew_leases()
         if others.keys() - self._directory.replies.keys():
             await trio.sleep_until(won_at + LEASE_S - RELEASE_BEFORE_END_S)
 
@@ -96,12 +96,12 @@
         except PlatformUnavailableError as error:
             self._state.log.event("boxes_not_listed", why=str(error))
             return False
-        return self._snapshots.take(snapshot, asked_at)
+        return self._snapshots.apply(snapshot, asked_at)
 
     def _answering_lost_primaries(self, record: LeadershipRecord, won_at: float) -> list[str]:
         """Return the groups whose lost primary answers again and may go on leading."""
         answering = []
-        for group, failover in record.moving.items():
+        for group, failover in record.failovers.items():
             row = self._state.endpoints.rows.get(failover.old.endpoint)
             if not failover.is_cancellable or row is None:
                 continue
@@ -113,8 +113,9 @@
     async def _request_releases(self, pending: dict[str, Box], record: LeadershipRecord) -> bool:
         """Request releases from these boxes; return whether an old member released its lease.
 
-        An unresponsive box's renewals need a reply from every box that was listed `LISTING_S`
-        before, so an old member that has the new record keeps it from renewing its lease.
+        An unresponsive box's renewals need a reply from every box that was listed
+        `MAX_BOX_LIST_AGE_S` before, so an old member that has the new record keeps it from
+        renewing its lease.
         """
         listed_times: list[float] = []
 
@@ -131,8 +132,8 @@
         async with trio.open_nursery() as nursery:
             for name in list(pending):
                 nursery.start_soon(request, name)
-        return any(listed_s > LISTING_S + LEASE_S for listed_s in listed_times)
+        return any(listed_s > MAX_BOX_LIST_AGE_S + LEASE_S for listed_s in listed_times)
 
     def _is_old_member(self, now: float) -> bool:
         """Return whether this box is certainly in every other box's list."""
-        return self._directory.listed_s(now) > LISTING_S + LEASE_S
+        return self._directory.listed_s(now) > MAX_BOX_LIST_AGE_S + LEASE_S
--- a/wharftiller/daemons/sessions/membership/box_server.py
+++ b/wharftiller/daemons/sessions/membership/box_server.py
@@ -26,7 +26,7 @@
     from wharftiller.daemons.sessions.membership.tombstones import Tombstones
     from wharftiller.daemons.sessions.state import SharedState
 
-QUIET_WAIT_S = 1.0
+WRITES_WAIT_S = 1.0
 """Time that in-flight writes get to end before a planned failover, in seconds."""
 
 BOX_START_S = 2.0
@@ -117,8 +117,8 @@
             "read": state.leases.read_from_platform,
             "revision": record.revision,
             "record": record_to_json(record) if is_newer else None,
-            "knows": state.knowledge.to_json(),
-            "points": state.positions.told(),
+            "knows": state.state_versions.to_json(),
+            "points": state.positions.to_json(),
             "hears": self._reachable_primaries(),
         }
 
@@ -131,7 +131,7 @@
         """Forward nothing new to a box that is stopping."""
         if not isinstance(value, dict) or not isinstance(value.get("box"), str):
             raise BadRequestError("a leaving box names itself; run one version")
-        await self._gateway_client.leave(value["box"], self._grace_s + BOX_START_S)
+        await self._gateway_client.stop_forwarding(value["box"], self._grace_s + BOX_START_S)
         return {}
 
     def _reachable_primaries(self) -> list[str]:
@@ -165,26 +165,26 @@
         """Release the leases on the primaries being replaced."""
         self._adopt_record(value)
         record = self._state.leases.record
-        if record.revision < value["revision"] or not record.moving:
+        if record.revision < value["revision"] or not record.failovers:
             return {"stopped": False}
-        await self.stop_using(record)
+        await self.release_leases(record)
         listed_s = self._directory.listed_s(trio.current_time())
         return {"stopped": True, "listed_ms": int(listed_s * 1000)}
 
-    async def stop_using(self, record: LeadershipRecord) -> None:
+    async def release_leases(self, record: LeadershipRecord) -> None:
         """Release the leases on primaries being replaced; if planned, once writes have ended."""
         leases = self._state.leases
-        for group, moving in record.moving.items():
-            leases.close(group, moving.old.endpoint)
-        for group, moving in record.moving.items():
-            if moving.planned:
+        for group, failover in record.failovers.items():
+            leases.close(group, failover.old.endpoint)
+        for group, failover in record.failovers.items():
+            if failover.planned:
                 await self._wait_for_writes(group)
-            self._state.leases.release_lease(group, moving.old.endpoint)
-        self._state.log.change("word_given", groups=sorted(record.moving))
+            self._state.leases.release_lease(group, failover.old.endpoint)
+        self._state.log.change("word_given", groups=sorted(record.failovers))
         self._state.wake()
 
     async def _wait_for_writes(self, group: str) -> None:
-        """Wait until this box's writes in ``group`` have ended, for `QUIET_WAIT_S` at most."""
-        with trio.move_on_after(QUIET_WAIT_S):
-            while not self._state.work.is_quiet(group):
-                await self._state.leadership_changed()
+        """Wait until this box's writes in ``group`` have ended, for `WRITES_WAIT_S` at most."""
+        with trio.move_on_after(WRITES_WAIT_S):
+            while not self._state.work.is_idle(group):
+                await self._state.wait_for_change()
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -64,15 +64,15 @@
     ----------
     platform_answers : bool
         Whether its last read of the platform succeeded.
-    hears : frozenset of str
+    reachable : frozenset of str
         The primaries that it can reach directly.
     """
 
     answer: RenewalReply
     platform_answers: bool
     incarnation: str
-    knowledge: StateVersions
-    hears: frozenset[str]
+    state_versions: StateVersions
+    reachable: frozenset[str]
 
 
 class BoxDirectory:
@@ -151,7 +151,7 @@
                 listed=listed,
             )
 
-    async def round(
+    async def renew_leases(
         self,
         *,
         no_older_than_s: float = 0.0,
@@ -187,7 +187,7 @@
         self._record_contact(boxes, replies)
         answers = [reply.answer for reply in replies.values()]
         before = self._state.leases.record.revision
-        renewed = self._state.leases.renewal_ended(answers, asked_at)
+        renewed = self._state.leases.apply_renewal(answers, asked_at)
         if renewed or self._state.leases.record.revision != before:
             self._state.wake()
         return renewed
@@ -218,7 +218,7 @@
             record = self._state.leases.record
             if value["record"] is not None:
                 record = record_from_json(value["record"], value["revision"])
-            self._state.positions.take(value["points"], asked_at)
+            self._state.positions.merge(value["points"], asked_at)
             answer = RenewalReply(box.name, bool(value["read"]), record)
             reachable = frozenset(map(str, value["hears"]))
             read_at = asked_at - int(value["read_age_ms"]) / 1000
@@ -253,7 +253,7 @@
 
     def relay_to(self, endpoint: str) -> str | None:
         """Return the relay address of a box that reaches ``endpoint``, preferably a near one."""
-        reaching = [n for n, reply in self.replies.items() if endpoint in reply.hears]
+        reaching = [n for n, reply in self.replies.items() if endpoint in reply.reachable]
         near = [n for n in reaching if self._is_near(n)]
         for name in ranked(self._state.box + endpoint, near or reaching):
             box = self.boxes.get(name)
--- a/wharftiller/daemons/sessions/membership/isolation.py
+++ b/wharftiller/daemons/sessions/membership/isolation.py
@@ -8,7 +8,13 @@
 import trio
 
 from wharftiller.core.rendezvous import ranked
-from wharftiller.core.sessions.isolation import Begin, End, Isolation, IsolationInputs, ShedSessions
+from wharftiller.core.sessions.isolation import (
+    EnterIsolation,
+    Isolation,
+    IsolationInputs,
+    LeaveIsolation,
+    ShedSessions,
+)
 
 if TYPE_CHECKING:
     from wharftiller.daemons.sessions.membership.box import Box
@@ -50,18 +56,18 @@
 
     async def _check(self) -> None:
         inputs = self._inputs()
-        to_probe = self._isolation.centres_to_ask(inputs)
+        to_probe = self._isolation.centres_to_probe(inputs)
         if to_probe:
             silent = await self._silent_among(to_probe)
             inputs = attrs.evolve(self._inputs(), silent=silent)
         fields = {"unusable": sorted(inputs.unusable)}
         match self._isolation.decide(inputs):
-            case Begin(silent):
+            case EnterIsolation(silent):
                 self._state.log.change("isolated", silent=sorted(silent), **fields)
-            case End():
+            case LeaveIsolation():
                 self._state.log.change("isolation_ended", silent=sorted(silent), **fields)
             case ShedSessions(groups):
-                closed = self._sessions.send_away(groups)
+                closed = self._sessions.shed(groups)
                 self._state.log.change("sessions_sent_away", sessions=closed, **fields)
 
     def _inputs(self) -> IsolationInputs:
@@ -84,10 +90,10 @@
         unusable = set()
         for group in self._state.leases.record.groups:
             if not self._state.serves_group(group):
-                if not self._state.told_usable.get(group, True):
+                if not self._state.gateway_usable.get(group, True):
                     unusable.add(group)
                 continue
-            row = self._state.startable(group)
+            row = self._state.usable_primary(group)
             if row is None or row.is_suspect(now):
                 unusable.add(group)
         return frozenset(unusable)
--- a/wharftiller/daemons/sessions/membership/peer_sync.py
+++ b/wharftiller/daemons/sessions/membership/peer_sync.py
@@ -33,7 +33,7 @@
 CURRENT_FRACTION = 0.6
 """Maximum age of a peer's read, as a fraction of the time in which a configuration is in force.
 
-The rest (0.4) is for this box's own listing of the platform.
+The rest (0.4) is for this box's own read of the platform.
 """
 
 CURRENT_MARGIN_S = 1.0
@@ -103,7 +103,7 @@
         """Whether a peer sent state from a recent read of the platform."""
         return trio.current_time() - self._read_at < self._current_age_s
 
-    def known(self, request: Any) -> dict[str, Any]:
+    def state_for(self, request: Any) -> dict[str, Any]:
         """Return the part of this box's state that another box lacks, as JSON.
 
         Parameters
@@ -120,7 +120,7 @@
             requester = StateVersions.from_json(request["knows"])
         except (KeyError, TypeError, ValueError) as error:
             raise BadRequestError(f"no knowledge was told: {error!r}; run one version") from None
-        own = self._state.knowledge
+        own = self._state.state_versions
         rows = self._state.endpoints.rows.values()
         return {
             "configuration": (
@@ -158,7 +158,7 @@
         """Fetch configuration and endpoints from a box that has newer ones."""
         for name, reply in self._directory.replies.items():
             box = self._directory.boxes.get(name)
-            if box is not None and self._state.knowledge.lacks(reply.knowledge):
+            if box is not None and self._state.state_versions.lacks(reply.state_versions):
                 self._nursery.start_soon(self.sync_from, box.address)
                 return
         self.mark_up_to_date()
@@ -178,7 +178,7 @@
         asked_at = trio.current_time()
         try:
             known = await self._directory.fetch_state(
-                address, self._state.knowledge, self._fetch_timeout_s
+                address, self._state.state_versions, self._fetch_timeout_s
             )
         finally:
             self._is_fetching = False
--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -1,7 +1,7 @@
 """Readers: in large deployments one box per data centre reads the platform for the others.
 
 In a small deployment each box asks every other once a second. The cost grows with the
-square of the number of boxes, so from `MANY_BOXES` on each box asks only a reader, which
+square of the number of boxes, so from `READERS_MIN_BOXES` on each box asks only a reader, which
 returns its newest snapshot of the platform and the snapshot's age. A snapshot that lists the
 requesting box renews its leases as a read of its own does. Boxes ask all others only while
 the platform is unavailable.
@@ -28,7 +28,7 @@
     from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
     from wharftiller.daemons.sessions.state import SharedState
 
-MANY_BOXES = 16
+READERS_MIN_BOXES = 16
 """Number of other boxes from which readers are used instead of renewals by all boxes."""
 
 READERS_TRIED = 4
@@ -149,8 +149,8 @@
             "boxes": None,
             "gone": [],
             "whole": False,
-            "knows": self._state.knowledge.to_json(),
-            "points": self._state.positions.told(),
+            "knows": self._state.state_versions.to_json(),
+            "points": self._state.positions.to_json(),
         }
         if snapshot.record.revision > revision:
             reply["record"] = record_to_json(snapshot.record)
@@ -213,7 +213,7 @@
     @property
     def applies(self) -> bool:
         """Whether the deployment is large enough for readers."""
-        return len(self._directory.boxes) >= MANY_BOXES
+        return len(self._directory.boxes) >= READERS_MIN_BOXES
 
     def readers(self) -> list[Box]:
         """Return the candidate readers of this box's data centre by rank, this box included."""
@@ -225,11 +225,11 @@
         return self.readers()[0].name == self._box.name
 
     @property
-    def is_asked(self) -> bool:
+    def may_be_asked(self) -> bool:
         """Whether other boxes of this data centre may ask this one for its snapshots."""
         return self._box in self.readers()[:READERS_TRIED]
 
-    def followers(self) -> list[Box]:
+    def watchers(self) -> list[Box]:
         """Return the other boxes that watch the platform: only the readers, if readers are used.
 
         The others receive changes from their reader within a second.
@@ -270,7 +270,7 @@
             if not value["read"]:
                 self.is_silent = True
                 return False
-            has_newer = self._state.knowledge.lacks(StateVersions.from_json(value["knows"]))
+            has_newer = self._state.state_versions.lacks(StateVersions.from_json(value["knows"]))
             self.newer_state_at = reader.address if has_newer else None
             if not value["listed"]:
                 return False
@@ -294,7 +294,7 @@
                 boxes.update((each["name"], Box(**each)) for each in value["boxes"])
                 self._boxes = boxes
                 self._list_revision = int(value["list_revision"])
-            self._state.positions.take(value["points"], asked_at)
+            self._state.positions.merge(value["points"], asked_at)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadRequestError(
                 f"{reader.name} sent a malformed reply: {error!r}; run one version on all boxes"
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -142,13 +142,13 @@
         )
         rate_limiter = RateLimiter(self.state, self._directory, token_client, self._token_server)
         self._runner = StatementRunner(self.state, rate_limiter, forwarder)
-        self.door = ConnectionAdmission(self.state, limits, open_streams)
-        self.sessions = SessionServer(self.state, self._runner, self.door)
+        self.admission = ConnectionAdmission(self.state, limits, open_streams)
+        self.sessions = SessionServer(self.state, self._runner, self.admission)
         self._executor = ForwardedExecutor(self.state, rate_limiter)
         self._drain = Drain(self.sessions, self._executor)
         snapshot_server = SnapshotServer(self.state, incarnation)
         snapshot_client = self._snapshot_client = SnapshotClient(
-            self.state, self._directory, self._box, snapshots.take
+            self.state, self._directory, self._box, snapshots.apply
         )
         self._prober = Prober(self.state, self._directory, dialer, nursery)
         self._peer_sync = PeerSync(
@@ -164,7 +164,7 @@
             self._directory,
             tombstones,
             snapshot_server,
-            self._peer_sync.known,
+            self._peer_sync.state_for,
             self._prober.check,
             self._executor,
             self._token_server,
@@ -197,13 +197,13 @@
             UnverifiedPrimaries(self.state, writer, successors),
         )
         self._isolation = IsolationWatch(self.state, self._directory, self.sessions)
-        self._watches = watches(self.state, self._notify_followers)
+        self._watches = watches(self.state, self._notify_watchers)
         self._lease_renewer = LeaseRenewer(
             self.state,
             self._directory,
             snapshot_client,
             self._peer_sync,
-            self._gateways.may_run_any,
+            self._gateways.may_receive_forwarded,
             nursery,
         )
         self._reads = SharedReads(
@@ -228,7 +228,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether this box should receive new sessions."""
-        if self._unready or self._isolation.is_isolated or self.door.is_nearly_full:
+        if self._unready or self._isolation.is_isolated or self.admission.is_nearly_full:
             return False
         knows_boxes = self._directory.listed_since is not None or bool(self._directory.boxes)
         return self.state.version > 0 and bool(self.state.endpoints.rows) and knows_boxes
@@ -245,9 +245,9 @@
             self._prober.run,
             self._failover_monitor.run,
             self._isolation.run,
-            self._runner.patience.run,
-            self._gateway_client.watch_for_ever,
-            self._executor.run_for_ever,
+            self._runner.read_timeouts.run,
+            self._gateway_client.watch_gateways,
+            self._executor.run_maintenance,
             self._log.flush_for_ever,
         ):
             self._nursery.start_soon(task)
@@ -260,13 +260,15 @@
         """Return the metrics page."""
         if request.path != "/metrics":
             raise UnknownPathError(f"no {request.path}; the metrics are at /metrics")
-        gauges = state_gauges(self.state, self._directory, self.door, self._token_server.kept)
+        gauges = state_gauges(
+            self.state, self._directory, self.admission, self._token_server.served_buckets
+        )
         page = metrics_page(self.state.metrics, gauges)
         return HttpResponse(200, page)
 
-    def _notify_followers(self) -> None:
+    def _notify_watchers(self) -> None:
         """Notify the boxes that follow this one of a change that the watches had missed."""
-        self._nursery.start_soon(self._directory.notify_change, self._snapshot_client.followers())
+        self._nursery.start_soon(self._directory.notify_change, self._snapshot_client.watchers())
 
     # Maintenance and stopping -------------------------------------------
 
@@ -276,7 +278,7 @@
             now = trio.current_time()
             self.state.endpoints.expire(now)
             self._token_server.maintain(now)
-            self.door.maintain(now)
+            self.admission.maintain(now)
             for pool in self.state.endpoints.pools.values():
                 pool.trim(now)
 
--- a/wharftiller/daemons/sessions/serving/autocommit.py
+++ b/wharftiller/daemons/sessions/serving/autocommit.py
@@ -66,7 +66,7 @@
         except StatementRefusedError as error:
             return error.reply(statement, SessionState.IDLE)
         reply = await self._run_admitted(routed, admission)
-        self._rate_limiter.give_back(admission)
+        self._rate_limiter.refund(admission)
         return reply
 
     async def _run_admitted(self, routed: RoutedStatement, admission: Admission) -> Reply:
@@ -114,8 +114,8 @@
         try:
             with trio.move_on_at(routed.until):
                 connection = await self._selector.connect(routed, row)
-                await connection.take_on(routed.session, routed.needed)
-                await self._rate_limiter.about_to_run(admission)
+                await connection.apply_session(routed.session, routed.needed)
+                await self._rate_limiter.ensure_token(admission)
                 self._check_still_primary(routed, row, admission)
                 query = routed.query(connection)
                 sent = True
@@ -140,7 +140,7 @@
         self, routed: RoutedStatement, row: EndpointRow, admission: Admission
     ) -> None:
         """Refuse the write if ``row`` is no longer the primary once its connection is prepared."""
-        if self._state.startable(routed.route.group) is not row:
+        if self._state.usable_primary(routed.route.group) is not row:
             admission.did_not_run()
             detail = "the primary is being replaced"
             raise StatementRefusedError(RefusalKind.NO_CAPACITY, detail, Cause.CHANGE_OF_PRIMARY)
@@ -210,8 +210,8 @@
         try:
             with self._read_timeouts.limit(routed.until, soft_deadline, can_run_elsewhere):
                 connection = await self._selector.connect(routed, row)
-                await connection.take_on(routed.session, routed.needed)
-                await self._rate_limiter.about_to_run(admission)
+                await connection.apply_session(routed.session, routed.needed)
+                await self._rate_limiter.ensure_token(admission)
                 asked_at = trio.current_time()
                 reply = await connection.ask(routed.query(connection, after))
                 state = reply.state
--- a/wharftiller/daemons/sessions/serving/statements.py
+++ b/wharftiller/daemons/sessions/serving/statements.py
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    gate : RateLimiter
+    rate_limiter : RateLimiter
         Admits operations that run on this box.
     forwarder : Forwarder or None
         Forwards statements to other boxes; without one, all run on this box.
@@ -50,8 +50,8 @@
         self._state = state
         self._forwarder = forwarder
         selector = EndpointSelector(state)
-        self.patience = ReadTimeouts()
-        self._autocommit = AutocommitRunner(state, rate_limiter, selector, self.patience)
+        self.read_timeouts = ReadTimeouts()
+        self._autocommit = AutocommitRunner(state, rate_limiter, selector, self.read_timeouts)
         self._transactions = TransactionRunner(state, rate_limiter, selector)
 
     async def run(self, session: Session, statement: Statement, arrived_at: float) -> Reply:
@@ -117,7 +117,7 @@
         if not self._bind_workspace(session, route):
             return self._refuse_unknown_key(session)
         if self._forwarder is not None:
-            reply = await self._forwarder.single(session, route, statement, arrived_at)
+            reply = await self._forwarder.forward_autocommit(session, route, statement, arrived_at)
             if reply is not None:
                 return reply
         return await self._autocommit.run(session, route, statement, arrived_at)
@@ -130,14 +130,14 @@
         arrived_at: float,
     ) -> Reply:
         if self._forwarder is not None and transaction.connection is None:
-            reply = await self._forwarder.in_transaction(
+            reply = await self._forwarder.forward_in_transaction(
                 session, transaction, statement, arrived_at
             )
             if reply is not None:
                 return reply
         return await self._transactions.run(session, transaction, statement, arrived_at)
 
-    async def run_for_box(
+    async def run_forwarded(
         self, session: Session, route: Route, statement: Statement, arrived_at: float
     ) -> Reply:
         """Run a statement that another box forwarded; return the answer."""
@@ -150,7 +150,7 @@
         record_forwarded(self._state, session, statement, reply, arrived_at)
         return reply
 
-    def begin_for_box(
+    def begin_forwarded(
         self, session: Session, route: Route, read_only: bool, begun_at: float
     ) -> None:
         """Open another box's transaction; its first statement selects the endpoint."""
@@ -191,4 +191,4 @@
         transaction = session.transaction
         self._transactions.fail(session)
         if self._forwarder is not None and transaction is not None:
-            self._forwarder.end_remote(transaction)
+            self._forwarder.roll_back_remote(transaction)
--- a/wharftiller/tests/core/sessions/test_isolation.py
+++ b/wharftiller/tests/core/sessions/test_isolation.py
@@ -6,12 +6,12 @@
 import pytest
 
 from wharftiller.core.sessions.isolation import (
-    BALANCER_SEES_S,
+    BALANCER_REACTION_S,
     MAX_ISOLATED_S,
-    Begin,
-    End,
+    EnterIsolation,
     Isolation,
     IsolationInputs,
+    LeaveIsolation,
     ShedSessions,
     Unchanged,
 )
@@ -29,7 +29,7 @@
 
 def isolated() -> Isolation:
     isolation = Isolation()
-    assert isolation.decide(CUT_OFF) == Begin(frozenset({"b", "c"}))
+    assert isolation.decide(CUT_OFF) == EnterIsolation(frozenset({"b", "c"}))
     return isolation
 
 
@@ -54,14 +54,14 @@
         assert Isolation().decide(inputs) == Unchanged()
 
     def test_no_data_centre_is_probed_while_most_primaries_can_be_used(self) -> None:
-        assert not Isolation().centres_to_ask(attrs.evolve(CUT_OFF, groups=4))
-        assert Isolation().centres_to_ask(CUT_OFF) == {"b", "c"}
+        assert not Isolation().centres_to_probe(attrs.evolve(CUT_OFF, groups=4))
+        assert Isolation().centres_to_probe(CUT_OFF) == {"b", "c"}
 
 
 class TestEnd:
     def test_it_ends_once_one_data_centre_answers(self) -> None:
         isolation = isolated()
-        assert isolation.decide(later(1.0, silent=frozenset({"b"}))) == End()
+        assert isolation.decide(later(1.0, silent=frozenset({"b"}))) == LeaveIsolation()
         assert isolation.since is None
 
     def test_it_lasts_while_all_data_centres_are_silent(self) -> None:
@@ -72,13 +72,13 @@
     def test_it_expires_where_a_further_data_centre_is_reached(self) -> None:
         isolation = isolated()
         further = frozenset({"b", "c", "d"})
-        assert isolation.decide(later(MAX_ISOLATED_S + 1, elsewhere=further)) == End()
+        assert isolation.decide(later(MAX_ISOLATED_S + 1, elsewhere=further)) == LeaveIsolation()
         assert isolation.decide(later(MAX_ISOLATED_S + 2, elsewhere=further)) == Unchanged()
 
 
 class TestSessions:
     def test_they_are_shed_once_when_the_balancer_has_reacted(self) -> None:
         isolation = isolated()
-        assert isolation.decide(later(BALANCER_SEES_S - 0.1)) == Unchanged()
-        assert isolation.decide(later(BALANCER_SEES_S + 0.1)) == ShedSessions(CUT_OFF.unusable)
-        assert isolation.decide(later(BALANCER_SEES_S + 1.0)) == Unchanged()
+        assert isolation.decide(later(BALANCER_REACTION_S - 0.1)) == Unchanged()
+        assert isolation.decide(later(BALANCER_REACTION_S + 0.1)) == ShedSessions(CUT_OFF.unusable)
+        assert isolation.decide(later(BALANCER_REACTION_S + 1.0)) == Unchanged()
