--- a/scripts/without_mechanism.py
+++ b/scripts/without_mechanism.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
-COPIED = ("wharftiller", "standins", "benchmarks", "pyproject.toml")
+COPIED = ("wharftiller", "standins", "benchmarks", "scripts", "pyproject.toml")
 
 
 def mechanisms() -> list[dict[str, Any]]:
