--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""Tell a story on a running deployment, checking each step; exits 0 only if all held."""
+"""Run a demo on a running deployment and check each step; exits 0 only if all checks pass."""
 
 from __future__ import annotations
 
@@ -23,73 +23,73 @@
 """Time within which processes listen and groups have a primary on a loaded machine, in seconds."""
 
 RECHECK_S = 0.1
-"""Time between looks, in seconds."""
+"""Time between polls, in seconds."""
 
 
 class Demo:
-    """The deployment as a caller and an operator see it."""
+    """A client of the deployment, as caller and as operator, that records failed checks."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.layout: dict[str, Any] = json.loads((folder / "layout.json").read_text())
         self.failed: list[str] = []
 
-    def tell(self, text: str) -> None:
-        """Print a sentence of the story."""
+    def print_step(self, text: str) -> None:
+        """Print what the next checks are about."""
         print(f"\n{text}")
 
-    def check(self, what: str, held: bool, shown: Any = "") -> None:
-        """Print a check and remember whether it held."""
-        print(f"  [{'ok' if held else 'FAILED'}] {what} {shown}".rstrip(), flush=True)
-        if not held:
+    def check(self, what: str, is_ok: bool, detail: Any = "") -> None:
+        """Print the outcome of a check and record it if it failed."""
+        print(f"  [{'ok' if is_ok else 'FAILED'}] {what} {detail}".rstrip(), flush=True)
+        if not is_ok:
             self.failed.append(what)
 
     async def call(
         self, address: str, method: str, path: str, body: Any, headers: dict[str, str]
     ) -> tuple[int, Any]:
-        """Return the status and body of one call."""
+        """Send one request and return the reply's status and body."""
         client = HttpClient(TcpTransport(), address)
         try:
-            answer = await client.request(method, path, body, headers, timeout_s=15)
-            return answer.status, answer.json()
+            reply = await client.request(method, path, body, headers, timeout_s=15)
+            return reply.status, reply.json()
         finally:
             await client.aclose()
 
-    async def operate(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Call box-1's admin as an operator."""
+    async def call_admin(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+        """Send a request to box-1's admin interface as an operator."""
         headers = {**bearer_header(KEYS.mint("operator", OPERATOR)), "x-operator": OPERATOR}
         address = self.layout["boxes"]["box-1"]["admin"]
         return await self.call(address, method, path, body, headers)
 
-    async def intend(self, intent: dict[str, Any]) -> Any:
-        """Plan and confirm an intent."""
-        status, plan = await self.operate("POST", "/plans", intent)
+    async def apply_intent(self, intent: dict[str, Any]) -> Any:
+        """Plan and confirm an intent; return the confirmation, or the refused plan."""
+        status, plan = await self.call_admin("POST", "/plans", intent)
         if status != 201:
             return plan
-        return (await self.operate("POST", f"/plans/{plan['plan']}/confirm"))[1]
+        return (await self.call_admin("POST", f"/plans/{plan['plan']}/confirm"))[1]
 
     async def ask(self, box: str, business: str, **fields: Any) -> dict[str, Any]:
-        """Ask a box's proxy for a statement."""
+        """Execute a statement through a box's proxy and return the reply."""
         body = {"pool": POOL, "business": business, **fields}
         headers = bearer_header(KEYS.mint("business", f"{POOL}/{business}"))
         address = self.layout["boxes"][box]["proxy"]
-        answer: dict[str, Any] = (await self.call(address, "POST", "/statements", body, headers))[1]
-        return answer
+        reply: dict[str, Any] = (await self.call(address, "POST", "/statements", body, headers))[1]
+        return reply
 
     async def ready(self) -> None:
         """Wait until every daemon and stand-in listens."""
-        places = [self.layout["platform"]]
-        places += [each["control_address"] for each in self.layout["endpoints"].values()]
-        places += [
-            box[part]
+        addresses = [self.layout["platform"]]
+        addresses += [each["control_address"] for each in self.layout["endpoints"].values()]
+        addresses += [
+            box[component]
             for box in self.layout["boxes"].values()
-            for part in ("proxy", "steward", "admin")
+            for component in ("proxy", "steward", "admin")
         ]
         with trio.fail_after(READY_S):
-            for address in places:
-                await self._reachable(address)
+            for address in addresses:
+                await self._wait_until_reachable(address)
 
-    async def _reachable(self, address: str) -> None:
+    async def _wait_until_reachable(self, address: str) -> None:
         while True:
             try:
                 stream = await TcpTransport().connect(address)
@@ -100,7 +100,7 @@
                 return
 
     async def list_boxes(self) -> None:
-        """Tell the platform's stand-in which boxes there are."""
+        """Send the list of boxes to the platform's stand-in."""
         boxes = [
             {
                 "name": name,
@@ -113,12 +113,12 @@
         await self.call(self.layout["platform"], "POST", "/control", {"boxes": boxes}, {})
 
     async def create_pool(self) -> None:
-        """Create the groups and the pool by intent, plan and confirm."""
+        """Create the groups and the pool: intent, plan, confirmation."""
         for group in self.layout["groups"]:
             endpoints = [
                 {"name": name, **self.layout["endpoints"][name]} for name in group["endpoints"]
             ]
-            await self.intend(
+            await self.apply_intent(
                 {"kind": "create_group", "group": {"name": group["name"], "endpoints": endpoints}}
             )
         names = [group["name"] for group in self.layout["groups"]]
@@ -129,47 +129,50 @@
                 business: names[number % len(names)] for number, business in enumerate(BUSINESSES)
             },
         }
-        status, plan = await self.operate("POST", "/plans", {"kind": "create_pool", "pool": pool})
+        status, plan = await self.call_admin(
+            "POST", "/plans", {"kind": "create_pool", "pool": pool}
+        )
         self.check("the intent became a plan", status == 201, plan.get("differences", plan))
-        _, confirmed = await self.operate("POST", f"/plans/{plan['plan']}/confirm")
+        _, confirmed = await self.call_admin("POST", f"/plans/{plan['plan']}/confirm")
         self.check("confirmed", confirmed.get("generation", 0) > 0, confirmed.get("generation"))
-        _, again = await self.operate("POST", f"/plans/{plan['plan']}/confirm")
+        _, again = await self.call_admin("POST", f"/plans/{plan['plan']}/confirm")
         same = again.get("generation") == confirmed.get("generation")
         self.check("confirming again is the same change", same)
 
     async def in_force(self) -> None:
-        """Wait until every box has the newest generation and every group a primary."""
+        """Wait until every box applies the newest generation and every group has a primary."""
         with trio.fail_after(READY_S):
             while True:
-                _, status = await self.operate("GET", "/status")
-                _, groups = await self.operate("GET", "/groups")
-                led = all((row["record"] or {}).get("primary") for row in groups)
-                if led and status["in_force_on"] == len(self.layout["boxes"]):
+                _, status = await self.call_admin("GET", "/status")
+                _, groups = await self.call_admin("GET", "/groups")
+                have_primaries = all((row["record"] or {}).get("primary") for row in groups)
+                if have_primaries and status["in_force_on"] == len(self.layout["boxes"]):
                     break
                 await trio.sleep(RECHECK_S)
         self.check("in force everywhere", True, f"on {status['in_force_on']} boxes")
 
     async def primary_of(self, group: str) -> str:
-        """Return the server that the record says leads ``group``.
+        """Return the primary of ``group`` by its record.
 
-        Waits while a promotion is under way: the record names no primary then, and a
-        loaded machine can make a steward order one at any moment.
+        Waits while a promotion is under way, when the record names no primary.
         """
         with trio.fail_after(READY_S):
             while True:
-                _, groups = await self.operate("GET", "/groups")
+                _, groups = await self.call_admin("GET", "/groups")
                 row = next(row for row in groups if row["group"]["name"] == group)
                 if row["record"]["primary"]:
                     return str(row["record"]["primary"])
                 await trio.sleep(RECHECK_S)
 
     def kill(self, process: str) -> None:
-        """End one process of the deployment the hard way."""
+        """End one process of the deployment with SIGKILL."""
         os.kill(int((self.folder / "pids" / process).read_text()), signal.SIGKILL)
 
-    async def guide_roams(self) -> str:
-        """A guide books through one box and reads through another."""
-        self.tell("A guide confirms a tourist through box-1; the phone then switches to box-2.")
+    async def check_session_across_boxes(self) -> str:
+        """Write through one box, read the write through another; return the session token."""
+        self.print_step(
+            "A guide confirms a tourist through box-1; the phone then switches to box-2."
+        )
         booked = await self.ask(
             "box-1",
             "rila-tours",
@@ -189,9 +192,9 @@
         self.check("the guide sees the tourist", seen["result"] == ["Ivan"], seen["result"])
         return str(booked["session"])
 
-    async def lookup(self) -> None:
-        """A seat lookup that accepts an age goes to a replica and is explained."""
-        self.tell("A tour page looks up seats; data of two seconds is good enough.")
+    async def check_replica_read(self) -> None:
+        """Check that a read which accepts stale data runs on a replica and can be explained."""
+        self.print_step("A tour page looks up seats; data of two seconds is good enough.")
         answer = await self.ask(
             "box-3",
             "rila-tours",
@@ -202,18 +205,18 @@
             explain=True,
         )
         primary = await self.primary_of("sofia-1")
-        held = answer["outcome"] == "done" and answer["endpoint"] != primary
-        self.check("a replica answered", held, f"{answer['endpoint']}; {primary} leads")
+        is_replica = answer["outcome"] == "done" and answer["endpoint"] != primary
+        self.check("a replica answered", is_replica, f"{answer['endpoint']}; {primary} leads")
         headers = {**bearer_header(KEYS.mint("operator", OPERATOR)), "x-operator": OPERATOR}
         address = self.layout["boxes"]["box-3"]["proxy"]
-        _, told = await self.call(address, "GET", "/explain/seats-1", None, headers)
-        steps = [step["kind"] for step in told["decisions"][0]["steps"]]
+        _, explained = await self.call(address, "GET", "/explain/seats-1", None, headers)
+        steps = [step["kind"] for step in explained["decisions"][0]["steps"]]
         self.check("and the box can explain it", "replica_chosen" in steps, " -> ".join(steps))
 
-    async def lose_primary(self, session: str) -> None:
-        """The primary is killed; bookings resume and nothing is lost."""
+    async def check_primary_loss(self, session: str) -> None:
+        """Kill the primary; check that bookings resume and no booking is lost."""
         primary = await self.primary_of("sofia-1")
-        self.tell(f"The primary {primary} is killed.")
+        self.print_step(f"The primary {primary} is killed.")
         self.kill(primary)
         started = time.monotonic()
         booked = await self.ask(
@@ -238,9 +241,11 @@
         )
         self.check("nothing is lost", seen["result"] == ["Ivan", "Ana"], seen["result"])
 
-    async def ask_twice(self) -> None:
-        """A booking that may not be repeated is asked through two boxes and runs once."""
-        self.tell("A card is charged; the phone loses the answer and asks again elsewhere.")
+    async def check_deduplication(self) -> None:
+        """Check that a booking which may not be repeated, sent through two boxes, runs once."""
+        self.print_step(
+            "A card is charged; the phone loses the reply and repeats the request through another box."
+        )
         charge = {
             "request_id": "charge-77",
             "kind": "write",
@@ -248,8 +253,8 @@
         }
         first = await self.ask("box-1", "rila-tours", **charge)
         second = await self.ask("box-2", "rila-tours", **charge)
-        both = first["outcome"] == second["outcome"] == "done"
-        self.check("both are told it is done", both)
+        are_done = first["outcome"] == second["outcome"] == "done"
+        self.check("both replies say that it is done", are_done)
         count = await self.ask(
             "box-3",
             "rila-tours",
@@ -260,9 +265,9 @@
         )
         self.check("it ran once", count["result"] == 1, count["result"])
 
-    async def refused(self) -> None:
-        """A refusal says why, and that nothing ran."""
-        self.tell("A misspelt pool is refused, with the remedy.")
+    async def check_refusal(self) -> None:
+        """Check that a refusal gives its reason and says that nothing ran."""
+        self.print_step("A misspelt pool is refused, with what to do.")
         body = {"pool": "tourdesc", "business": "x", "request_id": "q", "kind": "read"}
         headers = bearer_header(KEYS.mint("business", "tourdesc/x"))
         address = self.layout["boxes"]["box-1"]["proxy"]
@@ -270,20 +275,20 @@
         self.check("refused as not run", answer["outcome"] == "not_run", answer["message"])
 
 
-async def tell(folder: Path, only_pool: bool) -> int:
-    """Tell the story; return the exit status."""
+async def run_demo(folder: Path, only_pool: bool) -> int:
+    """Run the demo, or with ``only_pool`` just create the pool; return the exit status."""
     demo = Demo(folder)
     await demo.ready()
     await demo.list_boxes()
-    demo.tell("An operator creates a pool: intent, plan, confirm.")
+    demo.print_step("An operator creates a pool: intent, plan, confirm.")
     await demo.create_pool()
     await demo.in_force()
     if not only_pool:
-        session = await demo.guide_roams()
-        await demo.lookup()
-        await demo.lose_primary(session)
-        await demo.ask_twice()
-        await demo.refused()
+        session = await demo.check_session_across_boxes()
+        await demo.check_replica_read()
+        await demo.check_primary_loss(session)
+        await demo.check_deduplication()
+        await demo.check_refusal()
     if demo.failed:
         print(f"\n{len(demo.failed)} checks failed: {demo.failed}")
         return 1
@@ -292,4 +297,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(trio.run(tell, Path(sys.argv[1]), "--only-pool" in sys.argv))
+    sys.exit(trio.run(run_demo, Path(sys.argv[1]), "--only-pool" in sys.argv))
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Start a deployment, tell the story, end everything; exits 0 only if every check of the story held.
+# Start a deployment, run the demo on it and end it; exits 0 only if every check passed.
 set -u
 cd "$(dirname "$0")/.."
 folder=$(mktemp -d)
--- a/scripts/live.sh
+++ b/scripts/live.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Start one group and one box on this machine and measure them as real processes.
+# Start the processes of one group and one box on this machine and measure them.
 set -eu
 cd "$(dirname "$0")/.."
 folder=$(mktemp -d)
--- a/scripts/prove.sh
+++ b/scripts/prove.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Take out each mechanism of wharftiller/tests/mechanisms.toml in a copy of the tree and
-# run its tests there: they have to fail. Exits 0 only if every one did.
+# For each mechanism of wharftiller/tests/mechanisms.toml, remove it in a copy of the tree and
+# run its tests there, which must fail. Exits 0 only if they fail for every mechanism.
 set -u
 cd "$(dirname "$0")/.."
 count=$(python scripts/without_mechanism.py count)
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Start two idle deployments, of one group and of six, and measure the slopes of docs/CAPACITY.md.
+# Start two idle deployments, of one and of six groups, and measure the slopes of docs/CAPACITY.md.
 set -eu
 cd "$(dirname "$0")/.."
 small=$(mktemp -d) large=$(mktemp -d)
--- a/scripts/without_mechanism.py
+++ b/scripts/without_mechanism.py
@@ -1,4 +1,4 @@
-"""Make a copy of the tree with one mechanism taken out; see scripts/prove.sh."""
+"""Make a copy of the tree with one mechanism removed; see scripts/prove.sh."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 COPIED = ("wharftiller", "standins", "benchmarks", "scripts", "pyproject.toml")
 
 
-def mechanisms() -> list[dict[str, Any]]:
-    """Return every mechanism of the list."""
+def load_mechanisms() -> list[dict[str, Any]]:
+    """Return the mechanisms of wharftiller/tests/mechanisms.toml."""
     text = (ROOT / "wharftiller/tests/mechanisms.toml").read_text(encoding="utf-8")
-    found: list[dict[str, Any]] = tomllib.loads(text)["mechanism"]
-    return found
+    mechanisms: list[dict[str, Any]] = tomllib.loads(text)["mechanism"]
+    return mechanisms
 
 
-def make(number: int, target: Path) -> None:
+def make_copy(number: int, target: Path) -> None:
     """Copy the tree to ``target`` without mechanism ``number`` and print its name."""
-    mechanism = mechanisms()[number]
+    mechanism = load_mechanisms()[number]
     print(mechanism["name"])
     for name in COPIED:
         source = ROOT / name
@@ -33,17 +33,18 @@
     text = path.read_text(encoding="utf-8")
     if mechanism["find"] not in text:
         sys.exit(
-            f"the text of {mechanism['name']!r} is not in {mechanism['file']}; update the list"
+            f"the find text of {mechanism['name']!r} is not in {mechanism['file']}; "
+            "update wharftiller/tests/mechanisms.toml"
         )
     path.write_text(text.replace(mechanism["find"], mechanism["put"], 1), encoding="utf-8")
 
 
 match sys.argv[1:]:
     case ["count"]:
-        print(len(mechanisms()))
+        print(len(load_mechanisms()))
     case ["tests", number]:
-        print(mechanisms()[int(number)]["tests"])
+        print(load_mechanisms()[int(number)]["tests"])
     case ["make", number, folder]:
-        make(int(number), Path(folder))
+        make_copy(int(number), Path(folder))
     case _:
         sys.exit("usage: without_mechanism.py count | tests NUMBER | make NUMBER FOLDER")
--- a/wharftiller/tests/daemons/test_demo.py
+++ b/wharftiller/tests/daemons/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's story, which the tests of real processes share."""
+"""The demo's client, which the tests of real processes share."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 class TestPrimaryOf:
     def test_a_promotion_under_way_is_waited_for(self) -> None:
-        told = iter(["", "", "seats-b"])
+        primaries = iter(["", "", "seats-b"])
 
-        class Told(Demo):  # type: ignore[misc]
+        class FakeDemo(Demo):  # type: ignore[misc]
             def __init__(self) -> None:
                 pass
 
-            async def operate(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-                record = {"primary": next(told)}
+            async def call_admin(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+                record = {"primary": next(primaries)}
                 return 200, [{"group": {"name": "seats"}, "record": record}]
 
         async def main() -> None:
-            assert await Told().primary_of("seats") == "seats-b"
+            assert await FakeDemo().primary_of("seats") == "seats-b"
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
