--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; run by `make bench`, never by CI."""
+"""Benchmarks, run by `make bench` and not by CI."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Run experiments and print a line a figure: ``python -m benchmarks``."""
+"""Run experiments and print a line for each measurement: ``python -m benchmarks``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import typer
 
 from benchmarks.experiments import EXPERIMENTS
-from benchmarks.measurements import merged
+from benchmarks.measurements import merge_runs
 from benchmarks.model import DEPLOYMENTS
 
 
@@ -17,16 +17,18 @@
     deployment: Annotated[
         list[str] | None, typer.Option(help=f"Some of {sorted(DEPLOYMENTS)}.")
     ] = None,
-    runs: Annotated[int, typer.Option(help="Runs a figure, each with its own seed.")] = 5,
+    runs: Annotated[int, typer.Option(help="Runs of each experiment, each with its own seed.")] = 5,
 ) -> None:
-    """Measure policy under load and faults, in virtual time; a seed gives the same figures."""
+    """Measure policies under load and faults, in virtual time; a seed gives the same values."""
     typer.echo(f"# {os.cpu_count()} cores; virtual time; seeds 1 to {runs}")
-    for place in deployment or sorted(DEPLOYMENTS):
+    for deployment_name in deployment or sorted(DEPLOYMENTS):
         for name in only or EXPERIMENTS:
             experiment = EXPERIMENTS[name]
-            results = [experiment(DEPLOYMENTS[place], seed) for seed in range(1, runs + 1)]
-            for measurement in merged(results):
-                typer.echo(f"{place}: {measurement.line()}")
+            results = [
+                experiment(DEPLOYMENTS[deployment_name], seed) for seed in range(1, runs + 1)
+            ]
+            for measurement in merge_runs(results):
+                typer.echo(f"{deployment_name}: {measurement.line()}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Work out the tables of docs/CAPACITY.md from the measured slopes: ``make capacity``."""
+"""Compute the tables of docs/CAPACITY.md from the measured slopes: ``make capacity``."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 }
 
 
-def table(rows: list[Row]) -> str:
-    """Return a Markdown table."""
+def rows_table(rows: list[Row]) -> str:
+    """Return the rows as a Markdown table."""
     head = "| what | arithmetic | result | limit | mechanism | state |"
     return "\n".join([head, "| --- " * 6 + "|", *(row.line() for row in rows)])
 
 
-def slopes_table(found: dict[str, dict[str, float]]) -> str:
+def slopes_table(slopes: dict[str, dict[str, float]]) -> str:
     """Return the measured slopes as a Markdown table."""
     lines = ["| slope | median | lowest | highest | runs |", "| --- | --- | --- | --- | --- |"]
-    for name, slope in found.items():
-        figures = " | ".join(f"{slope[part]:.4g}" for part in ("median", "low", "high"))
-        lines.append(f"| {name} | {figures} | {slope['runs']:.0f} |")
+    for name, slope in slopes.items():
+        values = " | ".join(f"{slope[key]:.4g}" for key in ("median", "low", "high"))
+        lines.append(f"| {name} | {values} | {slope['runs']:.0f} |")
     return "\n".join(lines)
 
 
-def filled(page: str, tables: dict[str, str]) -> str:
-    """Return ``page`` with each table put between its two marks."""
+def fill_tables(page: str, tables: dict[str, str]) -> str:
+    """Return ``page`` with each table between its begin and end markers."""
     for name, text in tables.items():
         begin, end = f"<!-- {name} -->", f"<!-- end of {name} -->"
         before, _, rest = page.partition(begin)
@@ -54,14 +54,14 @@
 
 
 def main() -> None:
-    """Write the tables into the page."""
+    """Write the tables into docs/CAPACITY.md."""
     if not SLOPES_FILE.exists():
-        sys.exit("no slopes.json; measure first with scripts/slopes.sh and scripts/live.sh")
-    found = json.loads(SLOPES_FILE.read_text())
-    slopes = {name: slope["median"] for name, slope in found.items()}
-    tables = {name: table(rows(Scale(), slopes)) for name, rows in TABLES.items()}
-    tables["slopes"] = slopes_table(found)
-    PAGE.write_text(filled(PAGE.read_text(), tables), encoding="utf-8")
+        sys.exit("slopes.json is missing; run scripts/slopes.sh and scripts/live.sh to measure it")
+    measured = json.loads(SLOPES_FILE.read_text())
+    slopes = {name: slope["median"] for name, slope in measured.items()}
+    tables = {name: rows_table(rows(Scale(), slopes)) for name, rows in TABLES.items()}
+    tables["slopes"] = slopes_table(measured)
+    PAGE.write_text(fill_tables(PAGE.read_text(), tables), encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -1,4 +1,4 @@
-"""The rows of docs/CAPACITY.md: each a product of the size and a measured slope."""
+"""Rows of the tables of docs/CAPACITY.md: products of the scale and measured slopes."""
 
 from __future__ import annotations
 
@@ -6,21 +6,29 @@
 from wharftiller.core.configuration_changes import CHANGES_KEPT
 
 Slopes = dict[str, float]
+"""Median of each slope by its name in slopes.json."""
 
 DETECT_S = 5.2
-"""Detection time at that size, in seconds; leaves the rest of 12 s for the promotion."""
+"""Failure detection time, in seconds; leaves the rest of 12 s for the promotion."""
 
 PROBE_S = DETECT_S * 0.2
+"""Time between reports of a primary, in seconds."""
+
 REPLICA_INTERVAL = 5
+"""Reports of a primary for each report of a replica."""
+
 GATEWAY_HEARTBEAT_S = 10.0
-"""Planned pace of a home's reports while its group is idle, in seconds."""
+"""Time between reports to a gateway while its group is idle, in seconds; planned."""
 
 WATCH_S = 5.0
+"""Time between a relay's watch requests, in seconds."""
+
 LIST_S = 5.0
+"""Time between a relay's reads of the list of boxes, in seconds."""
 
 
 def proxy_rows(scale: Scale, slopes: Slopes) -> list[Row]:
-    """Return the proxy's rows."""
+    """Return the rows of one proxy."""
     connections = scale.connections / scale.daemons
     statements = scale.statements_per_s / scale.daemons
     idle = slopes["live: memory per idle caller connection"]
@@ -33,7 +41,7 @@
     )
     servers = gateways * scale.servers_per_group
     report_s = slopes["proxy core share per server at today's pace"] / 4
-    known = scale.databases * slopes["configuration memory per group"]
+    configuration_bytes = scale.databases * slopes["configuration memory per group"]
     return [
         Row(
             "caller connections, memory",
@@ -75,7 +83,7 @@
         Row(
             "configuration held, all groups, memory",
             f"{scale.databases:,} × {slopes['configuration memory per group']:,.0f} B",
-            known / 1e6,
+            configuration_bytes / 1e6,
             "MB",
             scale.control_bytes / 1e6,
             "today every proxy holds all",
@@ -94,7 +102,7 @@
 
 
 def steward_rows(scale: Scale, slopes: Slopes) -> list[Row]:
-    """Return the steward's rows."""
+    """Return the rows of one steward."""
     watched = (
         scale.databases
         * scale.watchers_per_data_centre
@@ -103,19 +111,20 @@
     )
     replicas = scale.servers_per_group - 1
     reports = watched / PROBE_S * (1 + replicas / REPLICA_INTERVAL)
-    # Today's pace of the slope: a third of the servers lead, the others are asked a fifth as often.
-    today = 5 * (1 + 2 / REPLICA_INTERVAL) / 3
-    report_s = slopes["steward core share per server at today's pace"] / today
+    # The slope holds for an average server at the default pace: 5 reports a second of a primary,
+    # a fifth of that of each of two replicas.
+    reports_per_s = 5 * (1 + 2 / REPLICA_INTERVAL) / 3
+    report_s = slopes["steward core share per server at today's pace"] / reports_per_s
     bytes_per_s = reports * slopes["report bytes"]
     change_bytes = scale.changes_per_s * slopes["change bytes sent"]
     memory = scale.databases * (
         slopes["configuration memory per group"] + slopes["steward memory per group"]
     )
-    take_s = scale.databases * (
+    apply_s = scale.databases * (
         slopes["change seconds to take per group known"]
         + slopes["change seconds to read per group known"]
     )
-    lists = scale.restarts_per_day / scale.data_centres / SECONDS_PER_DAY
+    lists_per_s = scale.restarts_per_day / scale.data_centres / SECONDS_PER_DAY
     return [
         Row(
             "groups watched",
@@ -157,8 +166,8 @@
         ),
         Row(
             "changes taken in, core share",
-            f"{scale.changes_per_s:.3f}/s × {take_s * 1e3:,.1f} ms",
-            100 * scale.changes_per_s * take_s,
+            f"{scale.changes_per_s:.3f}/s × {apply_s * 1e3:,.1f} ms",
+            100 * scale.changes_per_s * apply_s,
             "%",
             100 * scale.control_core_share,
             "changes are sent, not wholes; comparing whole configurations is to go",
@@ -175,8 +184,9 @@
         ),
         Row(
             "ranking watchers when the list of boxes changes, core share",
-            f"{lists * 3600:,.1f}/h × {slopes['watch ranking seconds per list'] * 1e3:,.0f} ms",
-            100 * lists * slopes["watch ranking seconds per list"],
+            f"{lists_per_s * 3600:,.1f}/h × "
+            f"{slopes['watch ranking seconds per list'] * 1e3:,.0f} ms",
+            100 * lists_per_s * slopes["watch ranking seconds per list"],
             "%",
             100 * scale.control_core_share,
             "ranks by 256 shards, whatever the number of groups",
@@ -196,18 +206,18 @@
 
 
 def relay_rows(scale: Scale, slopes: Slopes) -> list[Row]:
-    """Return the relay's rows."""
+    """Return the rows of one relay."""
     boxes = scale.boxes_per_data_centre - scale.relays_per_data_centre
     followers = boxes / scale.relays_per_data_centre
-    change_cpu = followers * slopes["change seconds to pass on"]
+    change_s = followers * slopes["change seconds to pass on"]
     change_bytes = followers * slopes["change bytes sent"]
-    shard = scale.databases / 256 * slopes["configuration bytes sent per group"]
-    whole = scale.databases * slopes["configuration bytes sent per group"]
+    shard_bytes = scale.databases / 256 * slopes["configuration bytes sent per group"]
+    configuration_bytes = scale.databases * slopes["configuration bytes sent per group"]
     return [
         Row(
             "one change to every follower of one relay, core time",
             f"{followers:,.0f} × {slopes['change seconds to pass on'] * 1e3:,.2f} ms",
-            change_cpu,
+            change_s,
             "s",
             scale.change_in_force_s,
             "long polls; each follower has its own order of the relays",
@@ -226,7 +236,7 @@
         Row(
             "one shard object",
             f"{scale.databases:,} ÷ 256 × {slopes['configuration bytes sent per group']:,.0f} B",
-            shard / 1e3,
+            shard_bytes / 1e3,
             "KB",
             scale.platform_value_bytes / 1e3,
             "256 shards by name",
@@ -235,7 +245,7 @@
         Row(
             "configuration as one object (weighed, not taken)",
             f"{scale.databases:,} × {slopes['configuration bytes sent per group']:,.0f} B",
-            whole / 1e3,
+            configuration_bytes / 1e3,
             "KB",
             scale.platform_value_bytes / 1e3,
             "none",
@@ -245,19 +255,21 @@
 
 
 def platform_rows(scale: Scale, slopes: Slopes) -> list[Row]:
-    """Return what the platform is asked, steadily and for each event."""
+    """Return the rows of the platform: its steady load and its load for each event."""
     relays = scale.relays
-    steady = relays / WATCH_S + relays / LIST_S
-    per_change = relays * 3
+    steady_reads_per_s = relays / WATCH_S + relays / LIST_S
+    reads_per_change = relays * 3
     promotions = slopes["platform calls per promotion"] * scale.promotions_per_day
-    leases = scale.databases / 3.0
-    direct = scale.daemons * 2
-    starts = scale.restarts_per_day / SECONDS_PER_DAY * slopes["platform calls per box start"]
+    lease_writes_per_s = scale.databases / 3.0
+    reads_without_relays = scale.daemons * 2
+    start_calls_per_s = (
+        scale.restarts_per_day / SECONDS_PER_DAY * slopes["platform calls per box start"]
+    )
     return [
         Row(
             "steady reads: watches and lists of the relays",
             f"{relays} ÷ {WATCH_S:.0f} s + {relays} ÷ {LIST_S:.0f} s",
-            steady,
+            steady_reads_per_s,
             "1/s",
             scale.platform_reads_per_s,
             "three relays a data centre; grows with data centres, not with boxes or databases",
@@ -266,7 +278,7 @@
         Row(
             "reads of one change within 4 s",
             f"{relays} × (watch, shard, watch again)",
-            per_change,
+            reads_per_change,
             "reads",
             scale.platform_reads_per_s * scale.change_in_force_s,
             "relays keep the shards they have read",
@@ -275,7 +287,7 @@
         Row(
             "reads of one change with every box watching (weighed, not taken)",
             f"{scale.daemons:,} × 2",
-            direct,
+            reads_without_relays,
             "reads",
             scale.platform_reads_per_s * scale.change_in_force_s,
             "none",
@@ -293,7 +305,7 @@
         Row(
             "writes with a lease a group renewed every 3 s (weighed, not taken)",
             f"{scale.databases:,} ÷ 3 s",
-            leases,
+            lease_writes_per_s,
             "1/s",
             scale.platform_writes_per_s,
             "none",
@@ -302,7 +314,7 @@
         Row(
             "calls for box starts",
             f"{scale.restarts_per_day:,.0f} a day × {slopes['platform calls per box start']:,.0f}",
-            starts,
+            start_calls_per_s,
             "1/s",
             scale.platform_reads_per_s,
             "a box that starts asks its peers",
@@ -321,19 +333,19 @@
 
 
 def burst_rows(scale: Scale, slopes: Slopes) -> list[Row]:
-    """Return the bursts."""
+    """Return the rows of load bursts."""
     boxes = scale.boxes_per_data_centre
-    whole = scale.databases * slopes["configuration bytes sent per group"]
-    lost = scale.connections / scale.daemons
+    configuration_bytes = scale.databases * slopes["configuration bytes sent per group"]
+    lost_connections = scale.connections / scale.daemons
     per_core = slopes["live: reads a second of a core, through a proxy"]
-    neighbours = boxes - 1
+    peers = boxes - 1
     connect_us = slopes["live: core time of a new caller connection and a first request"]
-    missed = scale.changes_per_s * 3_600
+    missed_changes = scale.changes_per_s * 3_600
     return [
         Row(
             "a data centre's boxes start together: bytes sent by others",
-            f"{boxes:,.0f} × {whole / 1e6:,.1f} MB",
-            boxes * whole / 1e9,
+            f"{boxes:,.0f} × {configuration_bytes / 1e6:,.1f} MB",
+            boxes * configuration_bytes / 1e9,
             "GB",
             None,
             "each takes the whole from one random peer; home groups only would divide it by ten "
@@ -343,7 +355,7 @@
         Row(
             "a region returns after an hour: changes to take in",
             f"{scale.changes_per_s:.3f}/s × 3,600 s",
-            missed,
+            missed_changes,
             "changes",
             float(CHANGES_KEPT),
             "so many changes are kept as changes; beyond that the whole is sent",
@@ -351,8 +363,8 @@
         ),
         Row(
             "a lost box's callers at its neighbours: each gets",
-            f"{lost:,.0f} ÷ {neighbours:,.0f}",
-            lost / neighbours,
+            f"{lost_connections:,.0f} ÷ {peers:,.0f}",
+            lost_connections / peers,
             "connections",
             None,
             "the platform's balancer spreads them",
@@ -360,8 +372,8 @@
         ),
         Row(
             "their reconnects, core time a neighbour",
-            f"{lost / neighbours:,.1f} × {connect_us:,.0f} us",
-            lost / neighbours * connect_us / 1e3,
+            f"{lost_connections / peers:,.1f} × {connect_us:,.0f} us",
+            lost_connections / peers * connect_us / 1e3,
             "ms",
             None,
             "a connection costs one task and a stream",
@@ -369,8 +381,8 @@
         ),
         Row(
             "their first statements, core time a neighbour",
-            f"{lost / neighbours:,.1f} ÷ {per_core:,.0f}/s",
-            1_000 * lost / neighbours / per_core,
+            f"{lost_connections / peers:,.1f} ÷ {per_core:,.0f}/s",
+            1_000 * lost_connections / peers / per_core,
             "ms",
             None,
             "retries at one level, a tenth of successes; refusals name when to come back, jittered",
--- a/benchmarks/capacity_scale.py
+++ b/benchmarks/capacity_scale.py
@@ -1,4 +1,4 @@
-"""The size to design for, and a row of a capacity table."""
+"""The scale to design for, and a row of a capacity table."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Scale:
-    """The size to design for, and the limits."""
+    """The scale to design for, and the limits of a box and of the platform."""
 
     daemons: int = 6_700
     databases: int = 16_000
@@ -44,7 +44,7 @@
 
     @property
     def relays(self) -> int:
-        """Relays in all."""
+        """Relays in all data centres."""
         return self.data_centres * self.relays_per_data_centre
 
 
@@ -55,9 +55,9 @@
     Attributes
     ----------
     limit : float or None
-        What the result may be at most.
-    built : str
-        ``built``, ``partly`` or ``planned``: the mechanism that carries it.
+        Maximum of the result.
+    state : str
+        State of the mechanism: ``built``, ``partly``, ``planned``, or ``-`` if there is none.
     """
 
     what: str
@@ -66,7 +66,7 @@
     unit: str
     limit: float | None
     mechanism: str
-    built: str
+    state: str
 
     def line(self) -> str:
         """Return the row as a line of a Markdown table."""
@@ -76,5 +76,5 @@
             verdict = f"{self.limit:.4g} " + ("held" if self.result <= self.limit else "**missed**")
         return (
             f"| {self.what} | {self.arithmetic} | {self.result:.4g} {self.unit} | {verdict} | "
-            f"{self.mechanism} | {self.built} |"
+            f"{self.mechanism} | {self.state} |"
         )
--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -1,7 +1,7 @@
-"""Experiments on policy under load and faults, in virtual time.
+"""Experiments on policies under load and faults, in virtual time.
 
-Network, slots, connection cost and replication lag are modelled; processor time
-is not (benchmarks/live.py measures that on real processes).
+Network, slots, connection cost and replication lag are modelled. Processor time is not;
+benchmarks/live.py measures it on real processes.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 SLOTS = 3
 SERVERS = 3
 OVERLOAD_SERVICE_MS = 20.0
-"""Slower statements overload the servers with fewer requests to simulate."""
+"""Duration of a statement, in milliseconds; slow, to overload servers with fewer requests."""
 
 
 def _run(
@@ -54,7 +54,7 @@
 
 
 def replica_share(deployment: Deployment, seed: int, **changes: Any) -> list[Measurement]:
-    """Return the share of reads that replicas served, and what reads and bookings took."""
+    """Return the share of reads served by replicas, and the durations of reads and bookings."""
     measurements: list[Measurement] = []
 
     async def scenario(world: World) -> None:
@@ -76,11 +76,13 @@
                     (100 * allowed / allowed_all,),
                     "99",
                 ),
-                Measurement("lookup p50", "ms", (percentile(load.times("read"), 0.5),)),
-                Measurement("lookup p99", "ms", (percentile(load.times("read"), 0.99),)),
-                Measurement("latest lookup p99", "ms", (percentile(load.times("latest"), 0.99),)),
-                Measurement("booking p50", "ms", (percentile(load.times("write"), 0.5),)),
-                Measurement("booking p99", "ms", (percentile(load.times("write"), 0.99),)),
+                Measurement("lookup p50", "ms", (percentile(load.durations_ms("read"), 0.5),)),
+                Measurement("lookup p99", "ms", (percentile(load.durations_ms("read"), 0.99),)),
+                Measurement(
+                    "latest lookup p99", "ms", (percentile(load.durations_ms("latest"), 0.99),)
+                ),
+                Measurement("booking p50", "ms", (percentile(load.durations_ms("write"), 0.5),)),
+                Measurement("booking p99", "ms", (percentile(load.durations_ms("write"), 0.99),)),
                 Measurement("requests not done", "%", (100 * undone / len(load.samples),)),
             ]
         )
@@ -90,7 +92,7 @@
 
 
 def failover_gap(deployment: Deployment, seed: int) -> list[Measurement]:
-    """Return the gap between acknowledged bookings for each way to lose a primary."""
+    """Return the longest gap between acknowledged bookings for each fault of a primary."""
     measurements = []
     for fault, aim in (
         ("killed", "median < 2, worst < 4"),
@@ -114,7 +116,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(load.run, FAULT_AT_S + AFTER_FAULT_S)
             await trio.sleep(FAULT_AT_S + offset)
-            await _lose_primary(world, fault)
+            await _fail_primary(world, fault)
         done = sorted(
             sample.answered_at
             for sample in load.samples
@@ -126,7 +128,7 @@
     return gaps[0]
 
 
-async def _lose_primary(world: World, fault: str) -> None:
+async def _fail_primary(world: World, fault: str) -> None:
     primary = world.primary(1)
     ip = world.ips[primary]
     match fault:
@@ -138,13 +140,13 @@
         case "frozen":
             world.network.freeze(ip)
         case "planned":
-            letter = "a" if not primary.endswith("a") else "b"
-            endpoint = f"group-1-{letter}"
+            suffix = "a" if not primary.endswith("a") else "b"
+            endpoint = f"group-1-{suffix}"
             await world.intend({"kind": "change_primary", "group": "group-1", "endpoint": endpoint})
 
 
 def overload(deployment: Deployment, seed: int) -> list[Measurement]:
-    """Return how fast refusals come at three times what the servers can do."""
+    """Return the latency of refusals at three times the capacity of the servers."""
     measurements: list[Measurement] = []
 
     async def scenario(world: World) -> None:
@@ -154,7 +156,7 @@
         load = _load(world, mix, seed, deadline_ms=500)
         await load.run(3.0)
         refused = [sample.took_s * 1000 for sample in load.samples if sample.outcome == "not_run"]
-        late = [
+        refused_at_deadline = [
             sample
             for sample in load.samples
             if sample.outcome == "not_run" and sample.reason == "deadline_passed"
@@ -178,7 +180,7 @@
                 Measurement(
                     "overload: refused only at the deadline",
                     "%",
-                    (100 * len(late) / len(load.samples),),
+                    (100 * len(refused_at_deadline) / len(load.samples),),
                 ),
                 Measurement("overload: unknown", "%", (100 * unknown / len(load.samples),)),
                 Measurement(
@@ -194,10 +196,10 @@
 
 
 def flood(deployment: Deployment, seed: int) -> list[Measurement]:
-    """Return bookings' p99 with and without one business flooding lookups."""
-    alone = _booking_times(deployment, seed, 0)
-    flooded = _booking_times(deployment, seed, 3_000)
-    latest = _booking_times(deployment, seed, 1_500, latest_share=1.0)
+    """Return the p99 of bookings with and without a flood of lookups of one business."""
+    alone = _booking_durations_ms(deployment, seed, 0)
+    flooded = _booking_durations_ms(deployment, seed, 3_000)
+    latest = _booking_durations_ms(deployment, seed, 1_500, latest_share=1.0)
     return [
         Measurement("booking p99 without a flood", "ms", (percentile(alone, 0.99),)),
         Measurement("booking p99 in a flood of lookups", "ms", (percentile(flooded, 0.99),)),
@@ -216,10 +218,10 @@
     ]
 
 
-def _booking_times(
+def _booking_durations_ms(
     deployment: Deployment, seed: int, flood_per_s: float, latest_share: float = 0.0
 ) -> list[float]:
-    times: list[float] = []
+    durations_ms: list[float] = []
 
     async def scenario(world: World) -> None:
         load = _load(world, deployment.mix, seed)
@@ -230,13 +232,13 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(flooding.run, 4.0)
             nursery.start_soon(load.run, 4.0)
-        times.extend(load.times("write"))
+        durations_ms.extend(load.durations_ms("write"))
 
     _run(deployment, seed, scenario)
-    return times
+    return durations_ms
 
 
-def spreading(deployment: Deployment, seed: int) -> list[Measurement]:
+def configuration_spread(deployment: Deployment, seed: int) -> list[Measurement]:
     """Return the time from a confirmed plan until its generation is in force on every box."""
     values: list[float] = []
 
@@ -265,7 +267,7 @@
 
 
 def replica_wait(deployment: Deployment, seed: int) -> list[Measurement]:
-    """Compare going to the primary at once with waiting for a replica, on the same load."""
+    """Compare reading from the primary at once with waiting for a replica, on the same load."""
     measurements = []
     for wait_ms in (0, 5, 20, 50):
         for measurement in replica_share(deployment, seed, replica_wait_ms=wait_ms, lag_ms=15.0):
@@ -280,6 +282,6 @@
     "failover-gap": failover_gap,
     "overload": overload,
     "flood": flood,
-    "spreading": spreading,
+    "spreading": configuration_spread,
     "replica-wait": replica_wait,
 }
--- a/benchmarks/live.py
+++ b/benchmarks/live.py
@@ -1,8 +1,8 @@
-"""Measure real processes on this machine: ``scripts/live.sh`` starts them and calls this.
+"""Measure real processes on this machine; ``scripts/live.sh`` starts them and runs this.
 
-Figures: statements a second of one core through a proxy against the endpoint
-stand-in asked directly, what the proxy adds to a statement, and memory per idle
-caller connection.
+Measures statements a second of one core, through a proxy and directly at the endpoint's
+stand-in, the latency that the proxy adds to a statement, and memory per idle caller
+connection.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 import attrs
 import trio
 
-from benchmarks.measurements import Measurement, merged, percentile
+from benchmarks.measurements import Measurement, merge_runs, percentile
 from standins.layout import BUSINESSES, POOL, SECRET
 from wharftiller.edges.http_client import HttpConnection
 from wharftiller.edges.transport import TcpTransport
@@ -27,39 +27,41 @@
 
 KEYS = KeyRing("k1", {"k1": SECRET})
 CONNECTIONS = 8
-SECONDS = 4.0
-PACED = 400
+THROUGHPUT_S = 4.0
+PACED_STATEMENTS = 400
 PACE_S = 0.005
+"""Pause after each paced statement, in seconds."""
+
 IDLE_CONNECTIONS = 2_000
 RUNS = 5
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 SLOPES_FILE = Path(__file__).with_name("slopes.json")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
-Ask = Callable[[HttpConnection, int], Awaitable[None]]
+Execute = Callable[[HttpConnection, int], Awaitable[None]]
 
 
 @attrs.frozen
-class Place:
-    """A process to measure: where it listens and its id."""
+class Process:
+    """A process to measure: the address that it listens on and its id."""
 
     address: str
     pid: int
 
     @property
     def cpu_s(self) -> float:
-        """Processor time it has used, in seconds."""
+        """Processor time that it has used, in seconds."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     @property
     def resident_bytes(self) -> int:
-        """Memory it has resident."""
+        """Resident memory, in bytes."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def caller_body(kind: str, number: int) -> dict[str, Any]:
-    """Return a caller's statement; reads accept data of five seconds."""
+    """Return the body of a caller's request; reads accept data five seconds old."""
     statement = {"get": "k"} if kind == "read" else {"put": "k", "value": number}
     return {
         "pool": POOL,
@@ -71,23 +73,23 @@
     }
 
 
-def through_proxy(kind: str) -> Ask:
-    """Return what asks a proxy for a statement."""
+def proxy_executor(kind: str) -> Execute:
+    """Return a function that executes a statement through a proxy."""
     headers = bearer_header(KEYS.mint("business", f"{POOL}/{BUSINESSES[0]}"))
 
-    async def ask(connection: HttpConnection, number: int) -> None:
+    async def execute(connection: HttpConnection, number: int) -> None:
         body = caller_body(kind, number)
-        answer = await connection.request("POST", "/statements", body, headers)
-        if answer.json()["outcome"] != "done":
-            raise RuntimeError(f"not done: {answer.body!r}")
+        reply = await connection.request("POST", "/statements", body, headers)
+        if reply.json()["outcome"] != "done":
+            raise RuntimeError(f"the proxy replied {reply.body!r}, expected outcome done")
 
-    return ask
+    return execute
 
 
-def directly(kind: str, term: int) -> Ask:
-    """Return what asks an endpoint for the same statement."""
+def endpoint_executor(kind: str, term: int) -> Execute:
+    """Return a function that executes the same statement directly at an endpoint."""
 
-    async def ask(connection: HttpConnection, number: int) -> None:
+    async def execute(connection: HttpConnection, number: int) -> None:
         caller = caller_body(kind, number)
         body = {
             "request_id": caller["request_id"],
@@ -97,72 +99,75 @@
             "term": term if kind == "write" else 0,
             "deadline_ms": 5_000,
         }
-        answer = await connection.request("POST", "/statement", body)
-        if answer.json()["verdict"] != "ran":
-            raise RuntimeError(f"did not run: {answer.body!r}")
+        reply = await connection.request("POST", "/statement", body)
+        if reply.json()["verdict"] != "ran":
+            raise RuntimeError(f"the endpoint replied {reply.body!r}, expected verdict ran")
 
-    return ask
+    return execute
 
 
-async def connected(place: Place, direct: bool) -> HttpConnection:
-    """Return an open connection, greeted if it is an endpoint's."""
-    connection = HttpConnection(await TcpTransport().connect(place.address))
-    if direct:
+async def open_connection(process: Process, is_endpoint: bool) -> HttpConnection:
+    """Return an open connection, after the handshake if it is to an endpoint."""
+    connection = HttpConnection(await TcpTransport().connect(process.address))
+    if is_endpoint:
         await connection.request("POST", "/connect", {"box": "bench"})
     return connection
 
 
-async def throughput(place: Place, ask: Ask, direct: bool) -> tuple[float, float]:
+async def throughput(process: Process, execute: Execute, is_endpoint: bool) -> tuple[float, float]:
     """Return statements a second, and statements a second of the process's processor time."""
     counts = [0] * CONNECTIONS
 
     async def loop(index: int, connection: HttpConnection, end: float) -> None:
         while trio.current_time() < end:
-            await ask(connection, counts[index])
+            await execute(connection, counts[index])
             counts[index] += 1
 
-    connections = [await connected(place, direct) for _ in range(CONNECTIONS)]
-    cpu_s = place.cpu_s
+    connections = [await open_connection(process, is_endpoint) for _ in range(CONNECTIONS)]
+    cpu_s = process.cpu_s
     started = trio.current_time()
     async with trio.open_nursery() as nursery:
         for index, connection in enumerate(connections):
-            nursery.start_soon(loop, index, connection, started + SECONDS)
+            nursery.start_soon(loop, index, connection, started + THROUGHPUT_S)
     took_s = trio.current_time() - started
-    used_s = place.cpu_s - cpu_s
+    used_s = process.cpu_s - cpu_s
     for connection in connections:
         await connection.aclose()
     return sum(counts) / took_s, sum(counts) / max(used_s, 1 / TICKS_PER_S)
 
 
-async def latencies(place: Place, ask: Ask, direct: bool) -> list[float]:
-    """Return the times of statements asked one by one at a slow pace, in milliseconds."""
-    connection = await connected(place, direct)
-    times = []
-    for number in range(PACED):
+async def latencies(process: Process, execute: Execute, is_endpoint: bool) -> list[float]:
+    """Return the durations of statements sent one by one with pauses, in milliseconds."""
+    connection = await open_connection(process, is_endpoint)
+    durations_ms = []
+    for number in range(PACED_STATEMENTS):
         started = time.perf_counter()
-        await ask(connection, number)
-        times.append((time.perf_counter() - started) * 1000)
+        await execute(connection, number)
+        durations_ms.append((time.perf_counter() - started) * 1000)
         await trio.sleep(PACE_S)
     await connection.aclose()
-    return times
+    return durations_ms
 
 
-async def connection_measurements(place: Place) -> list[Measurement]:
-    """Return what a caller connection costs: memory while it idles, core time to come anew."""
-    before = place.resident_bytes
-    cpu_s = place.cpu_s
+async def connection_measurements(process: Process) -> list[Measurement]:
+    """Return the cost of a caller connection: memory while idle, processor time to open."""
+    before = process.resident_bytes
+    cpu_s = process.cpu_s
     connections = []
     for _ in range(IDLE_CONNECTIONS):
-        connection = await connected(place, direct=False)
+        connection = await open_connection(process, is_endpoint=False)
         await connection.request("GET", "/ready")
         connections.append(connection)
-    grown = place.resident_bytes - before
-    used_s = place.cpu_s - cpu_s
+    grown_bytes = process.resident_bytes - before
+    used_s = process.cpu_s - cpu_s
     for connection in connections:
         await connection.aclose()
     return [
         Measurement(
-            "memory per idle caller connection", "bytes", (grown / IDLE_CONNECTIONS,), "< 8192"
+            "memory per idle caller connection",
+            "bytes",
+            (grown_bytes / IDLE_CONNECTIONS,),
+            "< 8192",
         ),
         Measurement(
             "core time of a new caller connection and a first request",
@@ -173,22 +178,23 @@
 
 
 async def measure(folder: Path) -> list[Measurement]:
-    """Return one run's figures on the deployment in ``folder``."""
+    """Return the measurements of one run on the deployment in ``folder``."""
     layout = json.loads((folder / "layout.json").read_text())
-    proxy = Place(layout["boxes"]["box-1"]["proxy"], _pid(folder, "box-1-proxy"))
+    proxy = Process(layout["boxes"]["box-1"]["proxy"], read_pid(folder, "box-1-proxy"))
     reports = {
-        name: await _report(each["control_address"]) for name, each in layout["endpoints"].items()
+        name: await _fetch_report(each["control_address"])
+        for name, each in layout["endpoints"].items()
     }
     primary = next(name for name, report in reports.items() if report["role"] == "primary")
     replica = next(name for name, report in reports.items() if report["role"] == "replica")
     term = reports[primary]["promised"]
     measurements = []
     for kind, server in (("read", replica), ("write", primary)):
-        endpoint = Place(layout["endpoints"][server]["address"], _pid(folder, server))
-        direct_s, direct_core = await throughput(endpoint, directly(kind, term), True)
-        proxy_s, proxy_core = await throughput(proxy, through_proxy(kind), False)
-        direct = await latencies(endpoint, directly(kind, term), True)
-        added = await latencies(proxy, through_proxy(kind), False)
+        endpoint = Process(layout["endpoints"][server]["address"], read_pid(folder, server))
+        direct_s, direct_core = await throughput(endpoint, endpoint_executor(kind, term), True)
+        proxy_s, proxy_core = await throughput(proxy, proxy_executor(kind), False)
+        direct = await latencies(endpoint, endpoint_executor(kind, term), True)
+        proxied = await latencies(proxy, proxy_executor(kind), False)
         measurements += [
             Measurement(f"{kind}s a second of a core, endpoint directly", "1/s", (direct_core,)),
             Measurement(f"{kind}s a second of a core, through a proxy", "1/s", (proxy_core,)),
@@ -198,28 +204,29 @@
             Measurement(f"{kind}s a second, endpoint directly", "1/s", (direct_s,)),
             Measurement(f"{kind}s a second, through a proxy", "1/s", (proxy_s,)),
             Measurement(
-                f"{kind}: added p50", "ms", (percentile(added, 0.5) - percentile(direct, 0.5),)
+                f"{kind}: added p50", "ms", (percentile(proxied, 0.5) - percentile(direct, 0.5),)
             ),
             Measurement(
-                f"{kind}: added p99", "ms", (percentile(added, 0.99) - percentile(direct, 0.99),)
+                f"{kind}: added p99", "ms", (percentile(proxied, 0.99) - percentile(direct, 0.99),)
             ),
         ]
     return measurements
 
 
-async def _report(address: str) -> Any:
+async def _fetch_report(address: str) -> Any:
     connection = HttpConnection(await TcpTransport().connect(address))
-    answer = await connection.request("POST", "/report", {"wait_position": 0, "wait_ms": 0})
+    reply = await connection.request("POST", "/report", {"wait_position": 0, "wait_ms": 0})
     await connection.aclose()
-    return answer.json()
+    return reply.json()
 
 
-def _pid(folder: Path, name: str) -> int:
+def read_pid(folder: Path, name: str) -> int:
+    """Return the process id of a component of the deployment in ``folder``."""
     return int((folder / "pids" / name).read_text())
 
 
-def keep(measurements: list[Measurement]) -> None:
-    """Keep the figures among the slopes of docs/CAPACITY.md."""
+def save(measurements: list[Measurement]) -> None:
+    """Write the measurements into slopes.json, from which docs/CAPACITY.md is computed."""
     slopes = json.loads(SLOPES_FILE.read_text()) if SLOPES_FILE.exists() else {}
     for measurement in measurements:
         slopes[f"live: {measurement.name}"] = {
@@ -232,14 +239,14 @@
 
 
 async def main(folder: Path) -> None:
-    """Print every figure and keep them."""
+    """Measure, print and save every measurement."""
     layout = json.loads((folder / "layout.json").read_text())
-    proxy = Place(layout["boxes"]["box-1"]["proxy"], _pid(folder, "box-1-proxy"))
+    proxy = Process(layout["boxes"]["box-1"]["proxy"], read_pid(folder, "box-1-proxy"))
     measurements = await connection_measurements(proxy)
-    measurements += merged([await measure(folder) for _ in range(RUNS)])
+    measurements += merge_runs([await measure(folder) for _ in range(RUNS)])
     for measurement in measurements:
         print(f"live: {measurement.line()}", flush=True)
-    keep(measurements)
+    save(measurements)
 
 
 if __name__ == "__main__":
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -19,17 +19,17 @@
 
 @attrs.frozen
 class Sample:
-    """One request: what it was, when, and what came of it.
+    """A finished request and its outcome.
 
     Attributes
     ----------
     took_s : float
-        Time from asking to the answer, in seconds.
+        Time from sending the request to its reply, in seconds.
     """
 
     kind: str
     business: str
-    asked_at: float
+    sent_at: float
     took_s: float
     outcome: str
     endpoint: str | None
@@ -37,18 +37,18 @@
 
     @property
     def answered_at(self) -> float:
-        """When the answer came."""
-        return self.asked_at + self.took_s
+        """Time of the reply, in seconds of the virtual clock."""
+        return self.sent_at + self.took_s
 
 
 @attrs.define
 class Load:
-    """Asks at random times, whatever the answers, over kept connections.
+    """Sends requests at random times, without waiting for replies, over reused connections.
 
     Attributes
     ----------
     samples : list of Sample
-        Every finished request.
+        Every finished request, in order of completion.
     """
 
     world: World
@@ -61,84 +61,84 @@
     samples: list[Sample] = attrs.field(factory=list)
     _idle: dict[str, list[HttpClient]] = attrs.field(factory=dict)
     _sessions: dict[str, str] = attrs.field(factory=dict)
-    _numbers: int = 0
+    _sent_count: int = 0
 
     async def run(self, seconds: float) -> None:
-        """Ask for ``seconds`` and wait for the answers."""
+        """Send requests for ``seconds`` and wait for the replies."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._ask_at_rate, nursery, "write", self.mix.bookings, seconds)
-            nursery.start_soon(self._ask_at_rate, nursery, "read", self.mix.lookups, seconds)
+            nursery.start_soon(self._send_at_rate, nursery, "write", self.mix.bookings, seconds)
+            nursery.start_soon(self._send_at_rate, nursery, "read", self.mix.lookups, seconds)
 
-    async def _ask_at_rate(
+    async def _send_at_rate(
         self, nursery: trio.Nursery, kind: str, per_s: float, seconds: float
     ) -> None:
         end = trio.current_time() + seconds
         while per_s and trio.current_time() < end:
             await trio.sleep(self.random.expovariate(per_s))
-            nursery.start_soon(self._ask, kind)
+            nursery.start_soon(self._send, kind)
 
-    def _body(self, kind: str, business: str) -> dict[str, Any]:
-        self._numbers += 1
+    def _build_body(self, kind: str, business: str) -> dict[str, Any]:
+        self._sent_count += 1
         body: dict[str, Any] = {
             "pool": POOL,
             "business": business,
-            "request_id": f"{self.name}-{self._numbers}",
+            "request_id": f"{self.name}-{self._sent_count}",
             "kind": kind,
             "deadline_ms": self.deadline_ms,
         }
         if kind == "write":
-            body["statement"] = {"put": f"tour-{self._numbers % 50}", "value": self._numbers}
+            body["statement"] = {"put": f"tour-{self._sent_count % 50}", "value": self._sent_count}
             body["repeatable"] = self.repeatable
             return body
         body["statement"] = {"get": f"tour-{self.random.randrange(50)}"}
-        chance = self.random.random()
-        if chance < self.mix.latest_share:
+        draw = self.random.random()
+        if draw < self.mix.latest_share:
             body["max_age_ms"] = 0
         else:
             body["max_age_ms"] = self.mix.max_age_ms
-            if chance < self.mix.latest_share + self.mix.session_share:
+            if draw < self.mix.latest_share + self.mix.session_share:
                 body["session"] = self._sessions.get(business)
         return body
 
-    async def _ask(self, kind: str) -> None:
+    async def _send(self, kind: str) -> None:
         business = self.random.choice(self.businesses)
         box = self.random.choice(sorted(self.world.boxes))
-        body = self._body(kind, business)
+        body = self._build_body(kind, business)
         headers = bearer_header(KEYS.mint("business", f"{POOL}/{business}"))
-        asked_at = trio.current_time()
-        client = await self._client(box)
+        sent_at = trio.current_time()
+        client = await self._idle_client(box)
         try:
-            answer = await client.request(
+            response = await client.request(
                 "POST", "/statements", body, headers, timeout_s=self.deadline_ms / 1000 + 1
             )
-            answered = answer.json()
+            reply = response.json()
             self._idle[box].append(client)
         except ExchangeError:
-            answered = {"outcome": "lost"}
-        if kind == "write" and answered["outcome"] == "done":
-            self._sessions[business] = answered["session"]
-        label = kind if kind == "write" or body["max_age_ms"] else "latest"
-        took_s = trio.current_time() - asked_at
+            reply = {"outcome": "lost"}
+        if kind == "write" and reply["outcome"] == "done":
+            self._sessions[business] = reply["session"]
+        sample_kind = kind if kind == "write" or body["max_age_ms"] else "latest"
+        took_s = trio.current_time() - sent_at
         self.samples.append(
             Sample(
-                label,
+                sample_kind,
                 business,
-                asked_at,
+                sent_at,
                 took_s,
-                answered["outcome"],
-                answered.get("endpoint"),
-                answered.get("reason", ""),
+                reply["outcome"],
+                reply.get("endpoint"),
+                reply.get("reason", ""),
             )
         )
 
-    async def _client(self, box: str) -> HttpClient:
+    async def _idle_client(self, box: str) -> HttpClient:
         idle = self._idle.setdefault(box, [])
         if idle:
             return idle.pop()
         return HttpClient(self.world.network.host(CLIENT), f"{self.world.ips[box]}:7100")
 
-    def times(self, kind: str, outcome: str = "done") -> list[float]:
-        """Return the times of the requests of a kind that ended so, in milliseconds."""
+    def durations_ms(self, kind: str, outcome: str = "done") -> list[float]:
+        """Return the durations of the requests of a kind with an outcome, in milliseconds."""
         return [
             sample.took_s * 1000
             for sample in self.samples
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -1,4 +1,4 @@
-"""What logs and metrics cost: processor time of one ordinary answer and of one written line.
+"""Measure the cost of logs and metrics: processor time of an ordinary answer and of a logged one.
 
 Run ``python -m benchmarks.log_cost``; multiply by the answers and lines of a run.
 """
@@ -23,9 +23,9 @@
 from wharftiller.decisions import DecisionLog
 
 ANSWERS = 20_000
-"""Answers counted and offered to the log: some seconds of processor time."""
+"""Answers recorded in a measurement."""
 
-BELIEVED = {
+BOX_STATE = {
     "access": "read",
     "reading": "BoundedReads",
     "version": 41,
@@ -37,11 +37,11 @@
     "lead_silent_ms": None,
     "point_age_ms": 269,
 }
-"""What a box tells with a logged answer."""
+"""State of a box that is logged with an answer."""
 
 
-def _cost_each(reply: Reply, ids: list[str]) -> tuple[float, float]:
-    """Return the processor time of one answer, in microseconds, and the bytes it writes."""
+def _measure_answers(reply: Reply, ids: list[str]) -> tuple[float, float]:
+    """Return the processor time of an answer, in microseconds, and the bytes that it logs."""
     written = 0
 
     def write(data: bytes) -> int:
@@ -57,9 +57,9 @@
     for number, request in enumerate(ids):
         statement = Statement(request, "READ seat1", Direct(Access.READ))
         metrics.answered(labels, 0.02)
-        log.answered(session, statement, reply, 0.02, 0.25, lambda: BELIEVED)
+        log.answered(session, statement, reply, 0.02, 0.25, lambda: BOX_STATE)
         if number % 100 == 0:
-            # As the process does twice a second; also lifts the bound of lines a second.
+            # A process flushes twice a second; clearing lifts the limit of lines a second.
             log.flush()
             log._written.clear()
     took_s = time.process_time() - started
@@ -67,13 +67,13 @@
 
 
 async def main() -> None:
-    """Print both costs."""
+    """Print the costs of an ordinary answer and of a refusal."""
     ids = [f"{number:016x}" for number in range(ANSWERS)]
     ordinary = Reply(SessionState.IDLE, proof="x", endpoint="i-65455e491b")
     refusal = Refusal(RefusalKind.NO_CAPACITY, "no primary can be used now; come back in 300 ms")
-    each_us, _ = _cost_each(ordinary, ids)
-    line_us, line_bytes = _cost_each(Reply(SessionState.IDLE, refusal=refusal), ids)
-    print(f"ordinary answer, sampled and counted: {each_us:.1f} us")
+    answer_us, _ = _measure_answers(ordinary, ids)
+    line_us, line_bytes = _measure_answers(Reply(SessionState.IDLE, refusal=refusal), ids)
+    print(f"ordinary answer, sampled and counted: {answer_us:.1f} us")
     print(f"refusal, a line each: {line_us:.1f} us, {line_bytes:.0f} bytes")
 
 
--- a/benchmarks/measurements.py
+++ b/benchmarks/measurements.py
@@ -1,4 +1,4 @@
-"""Figures: several runs of one quantity, printed as a line."""
+"""Measured quantities: the values of several runs, printed as a line."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     Attributes
     ----------
     values : tuple of float
-        One value a run.
+        One value for each run.
     aim : str
-        What the users ask for, if they do.
+        Target of the requirements; empty if there is none.
     """
 
     name: str
@@ -35,15 +35,15 @@
         return f"{self.name}  {median:.4g}  {self.unit}  ({spread}{aim})"
 
 
-def merged(runs: list[list[Measurement]]) -> list[Measurement]:
-    """Return one figure a name with the values of every run."""
-    found: dict[str, Measurement] = {}
+def merge_runs(runs: list[list[Measurement]]) -> list[Measurement]:
+    """Return one measurement for each name, with the values of every run."""
+    merged: dict[str, Measurement] = {}
     for run in runs:
         for measurement in run:
-            before = found.get(measurement.name)
+            before = merged.get(measurement.name)
             values = (*before.values, *measurement.values) if before else measurement.values
-            found[measurement.name] = attrs.evolve(measurement, values=values)
-    return list(found.values())
+            merged[measurement.name] = attrs.evolve(measurement, values=values)
+    return list(merged.values())
 
 
 def percentile(values: list[float], share: float) -> float:
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -1,4 +1,4 @@
-"""The systems served: the two deployments of the brief and the mixes they carry."""
+"""Modelled deployments and the mixes of requests that they serve."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @attrs.frozen
 class Mix:
-    """What callers ask, per second over the whole deployment.
+    """Rates and kinds of the requests of all callers of a deployment.
 
     Attributes
     ----------
     bookings, lookups : float
         Requests a second.
     latest_share : float
-        Part of the lookups that want the latest data.
+        Fraction of the lookups that need the latest data.
     session_share : float
-        Part of the lookups that carry the session of a booking just made.
+        Fraction of the lookups that carry the session of the last booking.
     max_age_ms : int
-        Age that the other lookups accept.
+        Age of data that the other lookups accept, in milliseconds.
     """
 
     bookings: float
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class Deployment:
-    """One operator's deployment and its ordinary mix."""
+    """A deployment and its ordinary mix of requests."""
 
     name: str
     size: Size
--- a/benchmarks/sessions/balancer.py
+++ b/benchmarks/sessions/balancer.py
@@ -1,4 +1,4 @@
-"""The platform's balancer as callers notice it: a box that is not ready gets no sessions."""
+"""Model of the platform's load balancer: a box that is not ready gets no sessions."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
     from wharftiller.tests.platform.world import BoxProcess, World
 
 POLL_S = 1.0
-"""Time between looks at a box, in seconds."""
+"""Time between readiness checks of a box, in seconds."""
 
-MISSES = 2
-"""Looks in a row that a box may not miss."""
+MAX_FAILED_CHECKS = 2
+"""Failed checks in a row after which a box gets no sessions."""
 
 CONNECT_S = 0.5
-"""Time to reach a box, in seconds."""
+"""Timeout of a connection to a box, in seconds."""
 
 
 class Balancer:
-    """Chooses a box of the caller's data centre that was ready lately, else of another."""
+    """Chooses a ready box of the caller's data centre, else a ready box of another."""
 
-    def __init__(self, world: World, homes: dict[str, int], seed: random.Random) -> None:
+    def __init__(self, world: World, data_centres: dict[str, int], rng: random.Random) -> None:
         self._world = world
-        self._homes = homes
-        self._random = seed
-        self._missed: collections.Counter[str] = collections.Counter()
+        self._data_centres = data_centres
+        self._random = rng
+        self._failed_checks: collections.Counter[str] = collections.Counter()
 
     async def run(self) -> None:
-        """Look at all boxes for ever."""
+        """Check all boxes periodically, until cancelled."""
         while True:
-            for name in self._homes:
+            for name in self._data_centres:
                 box = self._world.boxes.get(name)
-                ready = box is not None and _is_ready(box)
-                self._missed[name] = 0 if ready else self._missed[name] + 1
+                is_ready = box is not None and _is_ready(box)
+                self._failed_checks[name] = 0 if is_ready else self._failed_checks[name] + 1
             await trio.sleep(POLL_S)
 
     async def connect(self, data_centre: int) -> trio.abc.Stream:
@@ -48,16 +48,18 @@
         Raises
         ------
         ExchangeError
-            If the one chosen cannot be reached.
+            If the chosen box cannot be reached.
         """
-        names = [name for name in self._homes if self._missed[name] < MISSES] or list(self._homes)
-        near = [name for name in names if self._homes[name] == data_centre]
-        box = self._world.boxes.get(self._random.choice(near or names))
+        ready = [
+            name for name in self._data_centres if self._failed_checks[name] < MAX_FAILED_CHECKS
+        ] or list(self._data_centres)
+        local = [name for name in ready if self._data_centres[name] == data_centre]
+        box = self._world.boxes.get(self._random.choice(local or ready))
         if box is None:
-            raise ExchangeError("the box is down; ask another")
+            raise ExchangeError("the box is down; connect to another")
         with trio.move_on_after(CONNECT_S):
             return await self._world.network.host("10.8.0.1").connect(f"{box.ip}:1")
-        raise ExchangeError(f"{box.name} takes no connection; ask another")
+        raise ExchangeError(f"{box.name} accepted no connection in time; connect to another")
 
 
 def _is_ready(box: BoxProcess) -> bool:
--- a/benchmarks/sessions/callers.py
+++ b/benchmarks/sessions/callers.py
@@ -1,4 +1,4 @@
-"""Callers of an experiment: long sessions that come back, operations at random times, retries."""
+"""Callers of an experiment: long sessions that reconnect, random operations, retries."""
 
 from __future__ import annotations
 
@@ -17,101 +17,102 @@
     from benchmarks.sessions.balancer import Balancer
     from benchmarks.sessions.plan import Plan
 
-TRIES = 3
-"""An operation and two more tries."""
+MAX_ATTEMPTS = 3
 
 RETRY_S = 0.1
-"""Time before another try, in seconds."""
+"""Time before a retry, in seconds."""
 
-KINDS = {"primary": 0.15, "bounded_staleness": 0.15, "read_own_writes": 0.70}
-"""Kinds of reading and their parts of all operations."""
+CONSISTENCY_FRACTIONS = {"primary": 0.15, "bounded_staleness": 0.15, "read_own_writes": 0.70}
+"""Fraction of all operations by the consistency of their session."""
 
-WRITES = {"primary": 0.35, "bounded_staleness": 0.0, "read_own_writes": 0.12}
-"""Part of each kind's operations that write."""
+WRITE_FRACTIONS = {"primary": 0.35, "bounded_staleness": 0.0, "read_own_writes": 0.12}
+"""Fraction of writes by the consistency of the session."""
 
 
 @attrs.define
 class Outcomes:
-    """How operations ended."""
+    """Numbers of operations by outcome."""
 
     counts: collections.Counter[str] = attrs.field(factory=collections.Counter)
 
     @property
     def in_time(self) -> float:
-        """Part that was done within its goal."""
+        """Fraction of operations that were done within the latency goal."""
         return self.counts["in_time"] / max(1, self.counts.total())
 
 
 @attrs.define(eq=False)
 class _Session:
-    """One caller's session; opened when it is needed."""
+    """A caller's session, opened for its next operation."""
 
     data_centre: int
     group: str
-    kind: str
+    consistency: str
     caller: Caller | None = None
     lock: trio.Lock = attrs.field(factory=trio.Lock)
 
 
 class CallerLoad:
-    """All callers."""
+    """The operations of all callers over their sessions."""
 
-    def __init__(self, plan: Plan, balancer: Balancer, groups: list[str], seed: random.Random):
+    def __init__(self, plan: Plan, balancer: Balancer, groups: list[str], rng: random.Random):
         self._plan = plan
         self._balancer = balancer
-        self._random = seed
+        self._random = rng
         self.outcomes = Outcomes()
-        kinds = seed.choices(list(KINDS), list(KINDS.values()), k=plan.sessions)
+        consistencies = rng.choices(
+            list(CONSISTENCY_FRACTIONS), list(CONSISTENCY_FRACTIONS.values()), k=plan.sessions
+        )
         self._sessions = [
-            _Session(number % len(plan.boxes), seed.choice(groups), kind)
-            for number, kind in enumerate(kinds)
+            _Session(number % len(plan.boxes), rng.choice(groups), consistency)
+            for number, consistency in enumerate(consistencies)
         ]
 
     async def run(self) -> None:
-        """Start operations at random times for as long as the plan says."""
+        """Start operations at random times for the plan's duration."""
         async with trio.open_nursery() as nursery:
             until = trio.current_time() + self._plan.length_s
             while trio.current_time() < until:
                 await trio.sleep(self._random.expovariate(self._plan.operations_per_s))
-                nursery.start_soon(self._operate, self._random.choice(self._sessions))
+                nursery.start_soon(self._run_operation, self._random.choice(self._sessions))
 
-    async def _operate(self, session: _Session) -> None:
+    async def _run_operation(self, session: _Session) -> None:
         started = trio.current_time()
         outcome = "failed"
         with trio.move_on_after(self._plan.deadline_s):
-            outcome = await self._try(session)
+            outcome = await self._execute_with_retries(session)
         took_s = trio.current_time() - started
         if outcome == "done":
             outcome = "in_time" if took_s <= self._plan.goal_s else "late"
         self.outcomes.counts[outcome] += 1
 
-    async def _try(self, session: _Session) -> str:
+    async def _execute_with_retries(self, session: _Session) -> str:
         outcome = "failed"
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             async with session.lock:
-                outcome = await self._ask(session)
+                outcome = await self._execute(session)
             if outcome in ("done", "unknown"):
                 return outcome
             await trio.sleep(RETRY_S)
         return outcome
 
-    async def _ask(self, session: _Session) -> str:
-        whole = False
+    async def _execute(self, session: _Session) -> str:
+        is_complete = False
         try:
             if session.caller is None:
                 session.caller = await self._open(session)
-            writes = self._random.random() < WRITES[session.kind]
-            text = f"{'WRITE' if writes else 'READ'} thing{self._random.randrange(500)}"
-            lines = await session.caller.ask(f"{text} x" if writes else text)
-            whole = bool(lines) and lines[-1].startswith("READY")
+            is_write = self._random.random() < WRITE_FRACTIONS[session.consistency]
+            text = f"{'WRITE' if is_write else 'READ'} thing{self._random.randrange(500)}"
+            lines = await session.caller.ask(f"{text} x" if is_write else text)
+            is_complete = bool(lines) and lines[-1].startswith("READY")
         except (ExchangeError, trio.BrokenResourceError, trio.ClosedResourceError):
             return "failed"
         finally:
-            if not whole and session.caller is not None:
+            if not is_complete and session.caller is not None:
                 session.caller.close()
                 session.caller = None
-        if not whole:
-            return "unknown" if writes else "failed"
+        if not is_complete:
+            return "unknown" if is_write else "failed"
         if not lines[0].startswith("ERROR"):
             return "done"
         return "unknown" if lines[0].startswith(("ERROR INDOUBT", "ERROR TIMEOUT")) else "refused"
@@ -119,7 +120,7 @@
     async def _open(self, session: _Session) -> Caller:
         stream = await self._balancer.connect(session.data_centre)
         caller = Caller(stream)
-        await caller.send(f"CONNECT {session.group}-{session.kind} desk\r\n".encode())
+        await caller.send(f"CONNECT {session.group}-{session.consistency} desk\r\n".encode())
         if await caller.line() != "READY I -":
-            raise ExchangeError("the box takes no session; ask another")
+            raise ExchangeError("the box refused the session; connect to another")
         return caller
--- a/benchmarks/sessions/plan.py
+++ b/benchmarks/sessions/plan.py
@@ -1,4 +1,4 @@
-"""What an experiment plays: the deployment, the load and the faults, from a small file."""
+"""Plan of an experiment: the deployment, the load and the faults, read from a TOML file."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class PlanError(WharfError):
-    """An experiment's file cannot be played."""
+    """A plan of an experiment is invalid."""
 
     kind = "bad_plan"
 
 
 @attrs.frozen
 class Fault:
-    """One fault.
+    """A fault to inject.
 
     Attributes
     ----------
     at, for_s : float
         Start, in seconds after the load's start, and duration, in seconds.
     which : int
-        Number of the data centre or group.
+        Index of the data centre or group.
     x : float
         Factor of the replication lag.
     """
@@ -44,23 +44,23 @@
 
 @attrs.frozen
 class Plan:
-    """An experiment.
+    """The deployment, load and faults of an experiment.
 
     Attributes
     ----------
     boxes : list of int
-        Boxes in each data centre.
+        Number of boxes in each data centre.
     distance_s, caller_s : float
-        One way between data centres, and between callers and boxes, in seconds.
+        One-way latency between data centres, and between callers and boxes, in seconds.
     connections, slots : int
-        Of each endpoint.
+        Maximum of connections and of concurrent statements of each endpoint.
     lag_s, promote_s, work_s, handshake_s, linger_s : float
-        Replication lag, promotion, statement, new connection, and how long connections
-        of a host without power stay open, in seconds.
+        Replication lag, durations of a promotion, of a statement and of a handshake, and
+        time that connections of a host without power stay open, in seconds.
     operations_per_s : float
-        By all callers together.
+        Rate of all callers together.
     goal_s, deadline_s : float
-        Time within which an operation is in time, and within which it is given up.
+        Latency goal and timeout of an operation, in seconds.
     """
 
     boxes: list[int] = attrs.field(factory=lambda: [3, 2, 2])
@@ -83,9 +83,11 @@
     faults: list[Fault] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Check that it can be played."""
+        """Check the number of boxes and data centres."""
         if not 2 <= len(self.boxes) <= 5 or min(self.boxes) < 1:
-            raise PlanError(f"boxes is {self.boxes}; give 2 to 5 data centres of a box or more")
+            raise PlanError(
+                f"boxes is {self.boxes}; expected 2 to 5 data centres with at least one box each"
+            )
 
 
 def load_plan(path: Path) -> Plan:
@@ -94,7 +96,7 @@
     Raises
     ------
     PlanError
-        If it holds what no plan has; the message names it and what would do.
+        If the file cannot be read or is invalid; the message names the cause and the known keys.
     """
     try:
         value: dict[str, Any] = tomllib.loads(path.read_text())
@@ -104,4 +106,4 @@
         raise PlanError(f"{path} cannot be read: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, TypeError, ValueError) as error:
         known = ", ".join(field.name for field in attrs.fields(Plan))
-        raise PlanError(f"{path} is no plan: {error}. A plan has {known}") from None
+        raise PlanError(f"{path} is no plan: {error}. Known keys: {known}") from None
--- a/benchmarks/sessions/run.py
+++ b/benchmarks/sessions/run.py
@@ -1,4 +1,4 @@
-"""Play a plan once: start the deployment, let callers ask, strike the faults."""
+"""Run a plan once: start the deployment, apply the load, inject the faults."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 if TYPE_CHECKING:
     from benchmarks.sessions.plan import Fault, Plan
 
-SETTLED_S = 4.0
-"""Time until boxes know one another, the configuration and the primaries, in seconds."""
+SETTLE_S = 4.0
+"""Time until boxes have one another's addresses, configuration and primaries, in seconds."""
 
-CENTRES = "abcde"
+DATA_CENTRES = "abcde"
 
 
 class Deployment:
-    """The deployment of a plan, on a network in memory."""
+    """The deployment of a plan, on an in-memory network."""
 
     def __init__(self, plan: Plan, nursery: trio.Nursery) -> None:
         self._plan = plan
         self._nursery = nursery
-        groups = [self._group(number) for number in range(plan.groups)]
+        groups = [self._make_group(number) for number in range(plan.groups)]
         self.world = World(nursery, groups)
         self.world.network.latency = self._latency
-        self.homes: dict[str, int] = {}
-        self._centre_of: dict[str, int] = {}
+        self.box_data_centres: dict[str, int] = {}
+        self._ip_data_centres: dict[str, int] = {}
 
-    def _group(self, number: int) -> LineGroup:
+    def _make_group(self, number: int) -> LineGroup:
         plan = self._plan
         group = LineGroup(
             f"group{number}",
@@ -53,44 +53,48 @@
             address = f"10.2.{number}.{server + 1}:5"
             name = f"{group.name}-{server}"
             group.servers.append(
-                LineServer(name, group, address, CENTRES[centre], leads=server == 0)
+                LineServer(name, group, address, DATA_CENTRES[centre], leads=server == 0)
             )
         return group
 
     def _latency(self, a: str, b: str) -> float:
         if "10.8.0.1" in (a, b):
             return self._plan.caller_s
-        return 0.0001 if self._centre(a) == self._centre(b) else self._plan.distance_s
+        return 0.0001 if self._data_centre(a) == self._data_centre(b) else self._plan.distance_s
 
-    def _centre(self, ip: str) -> int:
-        return self._centre_of.get(ip, 0)
+    def _data_centre(self, ip: str) -> int:
+        return self._ip_data_centres.get(ip, 0)
 
     async def start(self) -> None:
-        """Start everything and wait until it has settled."""
+        """Start all processes and wait until they are ready."""
         for group in self.world.groups:
             for server in group.servers:
                 ip = server.address.partition(":")[0]
-                self._centre_of[ip] = CENTRES.index(server.data_centre)
+                self._ip_data_centres[ip] = DATA_CENTRES.index(server.data_centre)
         await self.world.start()
         number = 0
         for centre, boxes in enumerate(self._plan.boxes):
             for _ in range(boxes):
                 number += 1
-                self._centre_of[f"10.1.0.{number}"] = centre
-                await self.world.start_box(number, CENTRES[centre])
-                self.homes[f"box-{number}"] = centre
-        await trio.sleep(SETTLED_S)
+                self._ip_data_centres[f"10.1.0.{number}"] = centre
+                await self.world.start_box(number, DATA_CENTRES[centre])
+                self.box_data_centres[f"box-{number}"] = centre
+        await trio.sleep(SETTLE_S)
 
-    async def strike(self, fault: Fault) -> None:
-        """Play one fault from its time on."""
+    async def inject(self, fault: Fault) -> None:
+        """Wait until the fault's start, inject it, and end it after its duration."""
         await trio.sleep(fault.at)
         world = self.world
         match fault.kind:
             case "power_off_all":
                 await self._power_off_all(fault.for_s)
             case "cut_data_centre":
-                inside = [ip for ip, centre in self._centre_of.items() if centre == fault.which]
-                outside = [ip for ip, centre in self._centre_of.items() if centre != fault.which]
+                inside = [
+                    ip for ip, centre in self._ip_data_centres.items() if centre == fault.which
+                ]
+                outside = [
+                    ip for ip, centre in self._ip_data_centres.items() if centre != fault.which
+                ]
                 store = [STORE_IP] if fault.which != 0 else []
                 world.network.cut(inside, outside + store)
                 await trio.sleep(fault.for_s)
@@ -108,7 +112,7 @@
                 world.store.mode = StoreMode.WELL
 
     async def _power_off_all(self, down_s: float) -> None:
-        """End every box; endpoints keep their connections for as long as the plan says."""
+        """Kill every box and restart it; endpoints keep its connections for ``linger_s``."""
         until = trio.current_time() + self._plan.linger_s
         for group in self.world.groups:
             for server in group.servers:
@@ -119,26 +123,26 @@
         for group in self.world.groups:
             for server in group.servers:
                 server.lingering = {}
-        for name, centre in self.homes.items():
-            await self.world.start_box(int(name.partition("-")[2]), CENTRES[centre])
+        for name, centre in self.box_data_centres.items():
+            await self.world.start_box(int(name.partition("-")[2]), DATA_CENTRES[centre])
 
 
-def play(plan: Plan, seed: int) -> Outcomes:
-    """Return how the operations of one run ended; a seed gives the same load each time."""
+def run_plan(plan: Plan, seed: int) -> Outcomes:
+    """Return the outcomes of one run; a seed gives the same load each time."""
 
     async def main() -> Outcomes:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         async with trio.open_nursery() as nursery:
             deployment = Deployment(plan, nursery)
             await deployment.start()
-            balancer = Balancer(deployment.world, deployment.homes, chance)
+            balancer = Balancer(deployment.world, deployment.box_data_centres, rng)
             nursery.start_soon(balancer.run)
             for fault in plan.faults:
-                nursery.start_soon(deployment.strike, fault)
+                nursery.start_soon(deployment.inject, fault)
             names = [group.name for group in deployment.world.groups]
-            crowd = CallerLoad(plan, balancer, names, chance)
-            await crowd.run()
+            load = CallerLoad(plan, balancer, names, rng)
+            await load.run()
             nursery.cancel_scope.cancel()
-        return crowd.outcomes
+        return load.outcomes
 
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,8 @@
-"""Measure the slopes from which docs/CAPACITY.md is worked out: ``scripts/slopes.sh``.
+"""Measure the slopes from which docs/CAPACITY.md is computed: ``scripts/slopes.sh``.
 
-Bytes and processor time for each known group, report, configuration change and
-box start, on one machine; a slope a run, the median kept with its spread.
+Bytes, processor time and platform calls for each known group, report, configuration
+change, promotion and box start, on one machine. Of several runs the median, the lowest
+and the highest value are saved.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 import orjson
 import trio
 
-from benchmarks.live import SLOPES_FILE, Place, _pid
+from benchmarks.live import SLOPES_FILE, Process, read_pid
 from wharftiller.core.configuration import Configuration, EndpointSpec, GroupSpec, PoolSpec
 from wharftiller.core.configuration_changes import (
     ConfigurationChange,
@@ -50,11 +51,11 @@
         endpoints = tuple(
             EndpointSpec(
                 f"{name}-{letter}",
-                f"hall-{place + 1}",
-                f"10.{number // 250}.{number % 250}.{place}:5000",
-                f"10.{number // 250}.{number % 250}.{place}:5001",
+                f"hall-{index + 1}",
+                f"10.{number // 250}.{number % 250}.{index}:5000",
+                f"10.{number // 250}.{number % 250}.{index}:5001",
             )
-            for place, letter in enumerate("abc")
+            for index, letter in enumerate("abc")
         )
         specs[name] = GroupSpec(name, endpoints)
         businesses = {f"business-{number}-{n}": name for n in range(BUSINESSES_PER_POOL)}
@@ -62,24 +63,24 @@
     return Configuration(generation, pools, specs)
 
 
-def _seconds(work: Callable[[], Any], times: int = 1) -> float:
+def _cpu_s(work: Callable[[], Any], times: int = 1) -> float:
     started = time.process_time()
     for _ in range(times):
         work()
     return (time.process_time() - started) / times
 
 
-def _grown(work: Callable[[], Any]) -> tuple[int, Any]:
+def _allocated_bytes(work: Callable[[], Any]) -> tuple[int, Any]:
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = work()
-    grown = tracemalloc.get_traced_memory()[0] - before
+    result = work()
+    allocated = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return grown, kept
+    return allocated, result
 
 
 def configuration_slopes() -> dict[str, float]:
-    """Return what a known group costs in memory, bytes sent and start-up time."""
+    """Return memory, bytes sent and start-up time for each known group."""
     whole = change_between(Configuration(), configuration(GROUPS))
     wire = orjson.dumps(to_json(whole))
 
@@ -88,25 +89,25 @@
         holder.take_change(from_peer(orjson.loads(wire), ConfigurationChange))
         return holder
 
-    start_s = _seconds(start)
-    held, holder = _grown(start)
+    start_s = _cpu_s(start)
+    holder_bytes, holder = _allocated_bytes(start)
 
     def watch() -> StewardCore:
         core = StewardCore("box-1", random.Random(1))
         core.handle(ConfigurationArrived(holder.current), 0.0)
         return core
 
-    watched, _ = _grown(watch)
+    steward_bytes, _ = _allocated_bytes(watch)
     return {
         "configuration bytes sent per group": len(wire) / GROUPS,
-        "configuration memory per group": held / GROUPS,
-        "steward memory per group": watched / GROUPS,
+        "configuration memory per group": holder_bytes / GROUPS,
+        "steward memory per group": steward_bytes / GROUPS,
         "configuration start-up seconds per group": start_s / GROUPS,
     }
 
 
 def change_slopes() -> dict[str, float]:
-    """Return what one change of one pool costs to receive and to pass on."""
+    """Return the cost to receive and to forward a change of one pool."""
     old = configuration(GROUPS)
     pools = dict(old.pools)
     pools["pool-00007"] = attrs.evolve(pools["pool-00007"], groups=("group-00007",))
@@ -115,43 +116,43 @@
     new = Configuration(2, pools, old.groups)
     holder = ConfigurationHolder()
     holder.take(old)
-    take_s = _seconds(lambda: attrs.evolve(holder).take(new))
+    apply_s = _cpu_s(lambda: attrs.evolve(holder).take(new))
     holder.take(new)
     change = holder.change_since(1)
     wire = orjson.dumps(to_json(change))
-    pass_s = _seconds(lambda: orjson.dumps(to_json(holder.change_since(1))), 20)
-    read_s = _seconds(lambda: changed(old, from_peer(orjson.loads(wire), ConfigurationChange)), 5)
+    forward_s = _cpu_s(lambda: orjson.dumps(to_json(holder.change_since(1))), 20)
+    read_s = _cpu_s(lambda: changed(old, from_peer(orjson.loads(wire), ConfigurationChange)), 5)
     return {
         "change bytes sent": float(len(wire)),
-        "change seconds to take per group known": take_s / GROUPS,
-        "change seconds to pass on": pass_s,
+        "change seconds to take per group known": apply_s / GROUPS,
+        "change seconds to pass on": forward_s,
         "change seconds to read per group known": read_s / GROUPS,
     }
 
 
 def report_bytes() -> dict[str, float]:
-    """Return the bytes of one report, question and answer with their heads."""
+    """Return the bytes of one report: request and reply with their headers."""
     report = Report("group-00007-a", 12, 12, 1_234_567, 1_200_000)
-    answer = len(HttpResponse(200, to_json(report)).encode())
-    question = b'{"wait_position":0,"wait_ms":0}'
+    reply_bytes = len(HttpResponse(200, to_json(report)).encode())
+    request_body = b'{"wait_position":0,"wait_ms":0}'
     head = b"POST /report HTTP/1.1\r\nhost: wharftiller\r\ncontent-length: 31\r\n\r\n"
-    return {"report bytes": float(answer + len(head) + len(question))}
+    return {"report bytes": float(reply_bytes + len(head) + len(request_body))}
 
 
 def shard_slopes() -> dict[str, float]:
-    """Return the time to rank the boxes of a data centre for every watch shard."""
+    """Return the processor time to rank the boxes of a data centre for every watch shard."""
     boxes = {f"box-{number}": "hall-1" for number in range(BOXES_PER_DATA_CENTRE)}
-    places = frozenset({"hall-1"})
+    data_centres = frozenset({"hall-1"})
 
     def rank_all() -> None:
         for shard in range(WATCH_SHARDS):
-            watch_rank(shard, boxes, "box-1", places)
+            watch_rank(shard, boxes, "box-1", data_centres)
 
-    return {"watch ranking seconds per list": _seconds(rank_all)}
+    return {"watch ranking seconds per list": _cpu_s(rank_all)}
 
 
 def platform_slopes() -> dict[str, float]:
-    """Return platform calls of a promotion, a change and a box start, beyond the steady ones."""
+    """Return the platform calls of a promotion, a change and a box start, less the steady ones."""
     slopes: dict[str, float] = {}
 
     async def scenario(world: World) -> None:
@@ -160,7 +161,7 @@
         def calls() -> int:
             return sum(platform.calls.values())
 
-        async def beyond_steady(name: str, act: Callable[[], Any], seconds: float) -> None:
+        async def measure_calls(name: str, act: Callable[[], Any], seconds: float) -> None:
             before = calls()
             await trio.sleep(seconds)
             steady = calls() - before
@@ -186,33 +187,38 @@
             started[0] = trio.current_time()
             await world.replace_box("box-9")
 
-        await beyond_steady("platform calls per change, admin and 9 relays", change, 10.0)
-        await beyond_steady("platform calls per box start", replace, 10.0)
-        await beyond_steady("platform calls per promotion", promote, 10.0)
+        await measure_calls("platform calls per change, admin and 9 relays", change, 10.0)
+        await measure_calls("platform calls per box start", replace, 10.0)
+        await measure_calls("platform calls per promotion", promote, 10.0)
 
     run_world(scenario, Size(boxes=9, list_lag_s=8.0))
     return slopes
 
 
 def process_slopes(small: Path, large: Path) -> dict[str, float]:
-    """Return processor time for each watched server from two idle deployments."""
-    seconds = 10.0
+    """Return the processor time for each watched server, from two idle deployments."""
+    duration_s = 10.0
     used: dict[str, list[float]] = {"steward": [], "proxy": []}
     for folder in (small, large):
-        places = {part: Place("", _pid(folder, f"box-1-{part}")) for part in ("steward", "proxy")}
-        before = {part: place.cpu_s for part, place in places.items()}
-        time.sleep(seconds)
-        for part, place in places.items():
-            used[part].append((place.cpu_s - before[part]) / seconds)
+        processes = {
+            component: Process("", read_pid(folder, f"box-1-{component}"))
+            for component in ("steward", "proxy")
+        }
+        before = {component: process.cpu_s for component, process in processes.items()}
+        time.sleep(duration_s)
+        for component, process in processes.items():
+            used[component].append((process.cpu_s - before[component]) / duration_s)
     counts = [
         len(json.loads((folder / "layout.json").read_text())["endpoints"])
         for folder in (small, large)
     ]
-    more = counts[1] - counts[0]
+    added_servers = counts[1] - counts[0]
     slopes = {}
-    for part, (less, most) in used.items():
-        slopes[f"{part} core share, idle, {counts[0]} servers"] = less
-        slopes[f"{part} core share per server at today's pace"] = (most - less) / more
+    for component, (small_share, large_share) in used.items():
+        slopes[f"{component} core share, idle, {counts[0]} servers"] = small_share
+        slopes[f"{component} core share per server at today's pace"] = (
+            large_share - small_share
+        ) / added_servers
     return slopes
 
 
@@ -229,7 +235,7 @@
                 **process_slopes(small, large),
             }
         )
-    found = {
+    slopes = {
         name: {
             "median": statistics.median(run[name] for run in runs),
             "low": min(run[name] for run in runs),
@@ -239,10 +245,10 @@
         for name in runs[0]
     }
     for name, value in platform_slopes().items():
-        found[name] = {"median": value, "low": value, "high": value, "runs": 1}
+        slopes[name] = {"median": value, "low": value, "high": value, "runs": 1}
     existing = json.loads(SLOPES_FILE.read_text()) if SLOPES_FILE.exists() else {}
-    SLOPES_FILE.write_text(json.dumps({**existing, **found}, indent=1) + "\n")
-    for name, slope in found.items():
+    SLOPES_FILE.write_text(json.dumps({**existing, **slopes}, indent=1) + "\n")
+    for name, slope in slopes.items():
         print(f"slope: {name}  {slope['median']:.4g}  ({slope['low']:.4g} to {slope['high']:.4g})")
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -244,7 +244,7 @@
     async def check_deduplication(self) -> None:
         """Check that a booking which may not be repeated, sent through two boxes, runs once."""
         self.print_step(
-            "A card is charged; the phone loses the reply and repeats the request through another box."
+            "A card is charged; the phone loses the reply and repeats it through another box."
         )
         charge = {
             "request_id": "charge-77",
--- a/wharftiller/tests/test_capacity.py
+++ b/wharftiller/tests/test_capacity.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.capacity import filled
+from benchmarks.capacity import fill_tables
 from benchmarks.capacity_rows import platform_rows, proxy_rows, relay_rows, steward_rows
 from benchmarks.capacity_scale import Row, Scale
 
@@ -39,15 +39,15 @@
     def test_result(self, rows, what: str, expected: float) -> None:  # type: ignore[no-untyped-def]
         assert result(rows(SMALL, ONES), what) == pytest.approx(expected)
 
-    def test_row_that_misses_says_so(self) -> None:
+    def test_row_says_whether_its_limit_is_held(self) -> None:
         row = Row("x", "1 × 2", 2.0, "MB", 1.0, "m", "built")
         assert "**missed**" in row.line()
         assert "held" in Row("x", "1 × 2", 2.0, "MB", 2.0, "m", "built").line()
 
 
-class TestFilled:
+class TestFillTables:
     def test_tables_are_replaced_and_the_rest_kept(self) -> None:
         page = "a\n<!-- t -->\nold\n<!-- end of t -->\nb\n"
-        once = filled(page, {"t": "new"})
+        once = fill_tables(page, {"t": "new"})
         assert once == "a\n<!-- t -->\nnew\n<!-- end of t -->\nb\n"
-        assert filled(once, {"t": "new"}) == once
+        assert fill_tables(once, {"t": "new"}) == once
