--- a/benchmarks/sessions/run.py
+++ b/benchmarks/sessions/run.py
@@ -128,7 +128,7 @@
 
 
 def run_plan(plan: Plan, seed: int) -> Outcomes:
-    """Return the outcomes of one run; a seed gives the same load each time."""
+    """Return the outcomes of one run; ``seed`` seeds the draws of load and balancer."""
 
     async def main() -> Outcomes:
         rng = random.Random(seed)
