--- a/wharftiller/core/admission.py
+++ b/wharftiller/core/admission.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from wharftiller.core.answers import RETRY_AFTER_FAILOVER_MS, jittered, refuse
+from wharftiller.core.connection_shares import connection_share
 from wharftiller.core.queueing import QueueKind
 from wharftiller.core.reasons import Reason, ReasonKind
 from wharftiller.core.routing import allowed_age_s, choose_queue, replicas_of
-from wharftiller.core.shares import connection_share
 from wharftiller.core.tables import RequestRow
 
 if TYPE_CHECKING:
--- a/wharftiller/core/dispatch.py
+++ b/wharftiller/core/dispatch.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING
 
 from wharftiller.core import answers
+from wharftiller.core.connection_shares import connection_share
 from wharftiller.core.messages import CloseConnection, OpenConnection, SendStatement
 from wharftiller.core.queueing import QueueKind
 from wharftiller.core.reasons import Reason, ReasonKind
 from wharftiller.core.reports import request_report
 from wharftiller.core.routing import replica_exclusion, replicas_of
-from wharftiller.core.shares import connection_share
 from wharftiller.core.tables import ConnectionRow, ConnectionState, Phase
 
 if TYPE_CHECKING:
--- a/wharftiller/core/positions.py
+++ b/wharftiller/core/positions.py
@@ -38,7 +38,7 @@
         return not self < other
 
 
-NOWHERE = LogPosition()
+LOG_START = LogPosition()
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
 
     def position(self, group: str) -> LogPosition:
         """Return the newest position seen in ``group``."""
-        return self.positions.get(group, NOWHERE)
+        return self.positions.get(group, LOG_START)
 
     def advanced(self, group: str, position: LogPosition) -> Session:
         """Return the session with ``position`` in ``group``, unless it has a newer one."""
--- a/wharftiller/core/proxy.py
+++ b/wharftiller/core/proxy.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from wharftiller.core import admission, answers, lifecycle, membership, transactions
+from wharftiller.core.connection_shares import apply_box_list
 from wharftiller.core.dispatch import (
     close_connection,
     dispatch,
@@ -32,7 +33,6 @@
 from wharftiller.core.reasons import Reason, ReasonKind
 from wharftiller.core.reports import apply_report, heartbeat, release_lane
 from wharftiller.core.routing import reroute_replica_lookups
-from wharftiller.core.shares import apply_box_list
 from wharftiller.core.tables import ConnectionRow, ConnectionState, Phase, RequestRow, Tables
 
 if TYPE_CHECKING:
--- a/wharftiller/core/sessions/routing.py
+++ b/wharftiller/core/sessions/routing.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from wharftiller.core.positions import NOWHERE, LogPosition
+from wharftiller.core.positions import LOG_START, LogPosition
 from wharftiller.core.sessions.routes import BoundedReads, OwnWritesReads, PrimaryReads
 
 if TYPE_CHECKING:
@@ -77,9 +77,9 @@
         case PrimaryReads():
             return OnlyPrimary("the route reads from the primary")
         case BoundedReads(max_age_s):
-            own = NOWHERE
+            own = LOG_START
         case OwnWritesReads(max_age_s):
-            own = session.own_writes.get(route.group, NOWHERE)
+            own = session.own_writes.get(route.group, LOG_START)
     position = points.earliest_since(begun_at - max_age_s)
     if position is None:
         return OnlyPrimary("no log position is known that is new enough")
--- a/wharftiller/core/sessions/session.py
+++ b/wharftiller/core/sessions/session.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from wharftiller.core.positions import NOWHERE, LogPosition
+from wharftiller.core.positions import LOG_START, LogPosition
 from wharftiller.core.sessions.routes import Route
 from wharftiller.core.sessions.statements import PreparedStatement, SessionState
 from wharftiller.core.sessions.workspaces import Workspace
@@ -100,5 +100,5 @@
         """Record the position of a write, or None where its outcome is unknown."""
         if position is None:
             self.unsettled.add(group)
-        elif position > self.own_writes.get(group, NOWHERE):
+        elif position > self.own_writes.get(group, LOG_START):
             self.own_writes[group] = position
--- a/wharftiller/tests/core/test_shares.py
+++ b/wharftiller/tests/core/test_connection_shares.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wharftiller.core.shares import NEW_BOX_CONNECTIONS, apply_box_list, connection_share
+from wharftiller.core.connection_shares import NEW_BOX_CONNECTIONS, apply_box_list, connection_share
 from wharftiller.core.tables import Tables
 
 LAG_S = 10.0
