--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -25,8 +25,8 @@
 from wharftiller.core.configuration_changes import (
     ConfigurationChange,
     ConfigurationHolder,
+    apply_change,
     change_between,
-    changed,
 )
 from wharftiller.core.messages import ConfigurationArrived, Report
 from wharftiller.core.steward import StewardCore
@@ -120,7 +120,9 @@
     change = holder.change_since(1)
     wire = orjson.dumps(to_json(change))
     pass_s = _seconds(lambda: orjson.dumps(to_json(holder.change_since(1))), 20)
-    read_s = _seconds(lambda: changed(old, from_peer(orjson.loads(wire), ConfigurationChange)), 5)
+    read_s = _seconds(
+        lambda: apply_change(old, from_peer(orjson.loads(wire), ConfigurationChange)), 5
+    )
     return {
         "change bytes sent": float(len(wire)),
         "change seconds to take per group known": take_s / GROUPS,
--- a/wharftiller/cli/report_tables.py
+++ b/wharftiller/cli/report_tables.py
@@ -24,7 +24,7 @@
 def tables_of(report: RunReport) -> Iterator[Table]:
     """Yield the tables of a report."""
     yield _reads(report)
-    yield _changes(report)
+    yield _failovers(report)
     yield _refusals(report)
     yield _losses(report)
     yield _causes(report)
@@ -34,23 +34,23 @@
     table = Table("reading", "by replicas", "by primaries", "part", title="Sampled reads")
     for share in report.reads:
         table.add_row(
-            share.reading, str(share.by_replicas), str(share.by_primaries), f"{share.part:.0%}"
+            share.reading, str(share.by_replicas), str(share.by_primaries), f"{share.fraction:.0%}"
         )
     return table
 
 
-def _changes(report: RunReport) -> Table:
+def _failovers(report: RunReport) -> Table:
     table = Table(
         "group", "from", "to", "planned", "silent s", "change s", title="Changes of primary"
     )
-    for change in report.changes:
+    for failover in report.failovers:
         table.add_row(
-            change.group,
-            change.old,
-            change.successor,
-            "yes" if change.planned else "no",
-            "" if change.silent_s is None else f"{change.silent_s:.2f}",
-            f"{change.change_s:.2f}",
+            failover.group,
+            failover.old,
+            failover.successor,
+            "yes" if failover.planned else "no",
+            "" if failover.silent_s is None else f"{failover.silent_s:.2f}",
+            f"{failover.failover_s:.2f}",
         )
     return table
 
@@ -81,11 +81,11 @@
         total.refused += loss.refused
         total.unknown += loss.unknown
         total.late += loss.late
-        total.too_early += loss.too_early
+        total.before_failover += loss.before_failover
     for total in sorted(causes.values(), key=lambda each: -each.total):
         table.add_row(total.cause, *_counts(total))
     return table
 
 
 def _counts(loss: Loss) -> tuple[str, ...]:
-    return str(loss.refused), str(loss.unknown), str(loss.late), str(loss.too_early)
+    return str(loss.refused), str(loss.unknown), str(loss.late), str(loss.before_failover)
--- a/wharftiller/cli/wharfctl.py
+++ b/wharftiller/cli/wharfctl.py
@@ -259,7 +259,7 @@
             typer.echo(f"{step.line.at:10.3f} {answer.request_id}: {answer.outcome.value}")
             for reason in answer.steps:
                 typer.echo(f"           {reason.kind.value:<22} {reason.detail}")
-    different = sum(1 for step in steps if not step.same)
+    different = sum(1 for step in steps if not step.is_same)
     typer.echo(f"{len(steps)} steps, {different} differ from what was recorded")
     if different:
         raise typer.Exit(EXIT_REFUSED)
@@ -305,7 +305,7 @@
         raise typer.Exit(EXIT_REFUSED)
     for event in timeline:
         marker = ">" if event.fields.get("request") == request_id else " "
-        typer.echo(f"{marker} {event.sentence()}")
+        typer.echo(f"{marker} {event.as_line()}")
 
 
 @app.command()
--- a/wharftiller/core/configuration_changes.py
+++ b/wharftiller/core/configuration_changes.py
@@ -48,7 +48,7 @@
     )
 
 
-def changed(old: Configuration, change: ConfigurationChange) -> Configuration | None:
+def apply_change(old: Configuration, change: ConfigurationChange) -> Configuration | None:
     """Return ``old`` with ``change`` applied; None if it applies to another generation."""
     if change.base not in (0, old.generation):
         return None
@@ -87,7 +87,7 @@
 
     def take_change(self, change: ConfigurationChange) -> bool:
         """Apply ``change`` if its base matches and it is newer; return whether it was applied."""
-        configuration = changed(self._current, change)
+        configuration = apply_change(self._current, change)
         return configuration is not None and self.take(configuration)
 
     def change_since(self, generation: int) -> ConfigurationChange:
@@ -124,6 +124,6 @@
     )
 
 
-def relays(data_centre: str, boxes: list[str]) -> list[str]:
+def choose_relays(data_centre: str, boxes: list[str]) -> list[str]:
     """Return the boxes that watch the platform for ``data_centre``, by rank."""
     return ranked(f"relay/{data_centre}", boxes)[:RELAYS]
--- a/wharftiller/core/membership.py
+++ b/wharftiller/core/membership.py
@@ -43,7 +43,7 @@
     row.leaving = endpoint.leaving
 
 
-def forget_removed(tables: Tables) -> None:
+def remove_unconfigured(tables: Tables) -> None:
     """Drop groups that are no longer configured, once no request or transaction uses them."""
     removed = [name for name in tables.groups if name not in tables.configuration.groups]
     for name in removed:
--- a/wharftiller/core/promotion.py
+++ b/wharftiller/core/promotion.py
@@ -13,7 +13,6 @@
 from wharftiller.core.detection import MAJORITY, find_planned_failover, primary_is_lost
 from wharftiller.core.messages import Role
 from wharftiller.core.steward_messages import (
-    GiveOrder,
     GroupRecord,
     LeadState,
     LogMessage,
@@ -23,6 +22,7 @@
     OrderLost,
     ReadRecord,
     RecordRead,
+    SendOrder,
     UpdateRecord,
 )
 from wharftiller.core.watch_tables import (
@@ -238,7 +238,7 @@
     group.outstanding_orders.add((server.name, order))
     order_term = group.term if order is Order.QUIESCE else term
     tables.emit(
-        GiveOrder(
+        SendOrder(
             group.spec.name,
             server.name,
             server.control_address,
@@ -385,7 +385,7 @@
         return
     server.followed_at = now
     tables.emit(
-        GiveOrder(
+        SendOrder(
             group.spec.name,
             server.name,
             server.control_address,
--- a/wharftiller/core/proxy.py
+++ b/wharftiller/core/proxy.py
@@ -275,7 +275,7 @@
         transactions.close_overdue(self._tables, now)
         heartbeat(self._tables, now)
         trim_connections(self._tables, now)
-        membership.forget_removed(self._tables)
+        membership.remove_unconfigured(self._tables)
         for group in self._tables.groups.values():
             self._abandon_deposed(group, now)
             self._advance_checks(group, now)
--- a/wharftiller/core/steward.py
+++ b/wharftiller/core/steward.py
@@ -7,16 +7,16 @@
 from wharftiller.core import promotion
 from wharftiller.core.messages import ConfigurationArrived, Report, Role, Tick
 from wharftiller.core.steward_messages import (
-    AskReport,
-    BoxesPlaced,
+    BoxesUpdated,
     OrderAnswered,
     OrderLost,
     PlatformFailed,
     RecordConflict,
     RecordRead,
     RecordUpdated,
+    RequestReport,
+    ServerNotReporting,
     ServerReported,
-    ServerSilent,
     StewardInput,
     StewardOutput,
 )
@@ -69,7 +69,7 @@
         return self._tables
 
     @property
-    def is_acting(self) -> bool:
+    def is_promoting(self) -> bool:
         """Whether a promotion is under way."""
         groups = self._tables.groups.values()
         return any(not isinstance(group.step, Watching) for group in groups)
@@ -79,11 +79,11 @@
         match message:
             case ServerReported(name, _, report):
                 self._handle_report(name, report, now)
-            case ServerSilent(name, _):
+            case ServerNotReporting(name, _):
                 self._handle_no_report(name)
             case ConfigurationArrived(configuration):
                 self._apply_configuration(configuration, now)
-            case BoxesPlaced(boxes):
+            case BoxesUpdated(boxes):
                 self._tables.set_boxes(boxes)
             case Tick():
                 self._tick(now)
@@ -182,7 +182,7 @@
             if server.asked_at is None and now - server.last_asked_at >= probe_s:
                 server.asked_at = now
                 server.last_asked_at = now
-                self._tables.emit(AskReport(server.name, server.control_address))
+                self._tables.emit(RequestReport(server.name, server.control_address))
         promotion.advance(self._tables, group, now)
         if isinstance(group.step, Watching):
             promotion.redirect_replicas(self._tables, group, now)
--- a/wharftiller/core/steward_messages.py
+++ b/wharftiller/core/steward_messages.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class ServerSilent:
+class ServerNotReporting:
     """A server did not report before the timeout."""
 
     endpoint: str
@@ -120,7 +120,7 @@
 
 
 @attrs.frozen
-class BoxesPlaced:
+class BoxesUpdated:
     """The data centre of each box that is not leaving, from the platform's list, which may lag."""
 
     boxes: dict[str, str]
@@ -128,7 +128,7 @@
 
 StewardInput = (
     ServerReported
-    | ServerSilent
+    | ServerNotReporting
     | RecordRead
     | RecordUpdated
     | RecordConflict
@@ -136,7 +136,7 @@
     | OrderAnswered
     | OrderLost
     | ConfigurationArrived
-    | BoxesPlaced
+    | BoxesUpdated
     | Tick
 )
 
@@ -144,7 +144,7 @@
 
 
 @attrs.frozen
-class AskReport:
+class RequestReport:
     """Request a report from a server."""
 
     endpoint: str
@@ -168,7 +168,7 @@
 
 
 @attrs.frozen
-class GiveOrder:
+class SendOrder:
     """Send a server an order.
 
     Attributes
@@ -210,4 +210,4 @@
     text: str
 
 
-StewardOutput = AskReport | ReadRecord | UpdateRecord | GiveOrder | NoticePrimary | LogMessage
+StewardOutput = RequestReport | ReadRecord | UpdateRecord | SendOrder | NoticePrimary | LogMessage
--- a/wharftiller/daemons/configuration_distributor.py
+++ b/wharftiller/daemons/configuration_distributor.py
@@ -9,7 +9,7 @@
 import trio
 
 from wharftiller.core.configuration import Configuration
-from wharftiller.core.configuration_changes import ConfigurationHolder, relays
+from wharftiller.core.configuration_changes import ConfigurationHolder, choose_relays
 from wharftiller.core.errors import ExchangeError, PlatformUnavailableError
 from wharftiller.core.rendezvous import ranked
 from wharftiller.edges.codec import from_caller
@@ -108,7 +108,7 @@
             for entry in self._boxes
             if entry.data_centre == data_centre and not entry.leaving
         ]
-        return relays(data_centre, names)
+        return choose_relays(data_centre, names)
 
     async def run(self) -> None:
         """Run until cancelled."""
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -248,7 +248,7 @@
             self._runner.patience.run,
             self._gateway_client.watch_for_ever,
             self._executor.run_for_ever,
-            self._log.flush_for_ever,
+            self._log.flush_periodically,
         ):
             self._nursery.start_soon(task)
 
--- a/wharftiller/daemons/steward.py
+++ b/wharftiller/daemons/steward.py
@@ -14,9 +14,7 @@
 from wharftiller.core.messages import ConfigurationArrived, Report, Tick
 from wharftiller.core.steward import StewardCore
 from wharftiller.core.steward_messages import (
-    AskReport,
-    BoxesPlaced,
-    GiveOrder,
+    BoxesUpdated,
     GroupRecord,
     LeadState,
     LogMessage,
@@ -28,8 +26,10 @@
     RecordConflict,
     RecordRead,
     RecordUpdated,
+    RequestReport,
+    SendOrder,
+    ServerNotReporting,
     ServerReported,
-    ServerSilent,
     StewardInput,
     StewardOutput,
     UpdateRecord,
@@ -133,7 +133,7 @@
 
     def _on_boxes(self) -> None:
         boxes = self._distributor.boxes
-        self.feed(BoxesPlaced({box.name: box.data_centre for box in boxes if not box.leaving}))
+        self.feed(BoxesUpdated({box.name: box.data_centre for box in boxes if not box.leaving}))
 
     def feed(self, message: StewardInput) -> None:
         """Pass an input to the core and execute its outputs."""
@@ -143,13 +143,13 @@
     def _execute(self, output: StewardOutput) -> None:
         assert self._nursery is not None
         match output:
-            case AskReport():
+            case RequestReport():
                 self._nursery.start_soon(self._request_report, output)
             case ReadRecord(group):
                 self._nursery.start_soon(self._read_record, group)
             case UpdateRecord():
                 self._nursery.start_soon(self._update_record, output)
-            case GiveOrder():
+            case SendOrder():
                 self._nursery.start_soon(self._send_order, output)
             case NoticePrimary():
                 self._announce_primary(output)
@@ -161,7 +161,7 @@
     async def _tick_for_ever(self) -> None:
         published_at = trio.current_time()
         while True:
-            await trio.sleep(TICK_S if self._core.is_acting else IDLE_TICK_S)
+            await trio.sleep(TICK_S if self._core.is_promoting else IDLE_TICK_S)
             self.feed(Tick())
             if trio.current_time() - published_at >= PUBLISH_S:
                 published_at = trio.current_time()
@@ -173,7 +173,7 @@
             clients[address] = HttpClient(self._transport, address)
         return clients[address]
 
-    async def _request_report(self, order: AskReport) -> None:
+    async def _request_report(self, order: RequestReport) -> None:
         sent_at = trio.current_time()
         body = {"wait_position": 0, "wait_ms": 0}
         try:
@@ -181,11 +181,11 @@
             answer = await client.request("POST", "/report", body, timeout_s=REPORT_TIMEOUT_S)
             report = from_peer(answer.json(), Report)
         except ExchangeError:
-            self.feed(ServerSilent(order.endpoint, sent_at))
+            self.feed(ServerNotReporting(order.endpoint, sent_at))
         else:
             self.feed(ServerReported(order.endpoint, sent_at, report))
 
-    async def _send_order(self, order: GiveOrder) -> None:
+    async def _send_order(self, order: SendOrder) -> None:
         body = {
             "term": order.term,
             "address": order.primary_address,
--- a/wharftiller/decisions.py
+++ b/wharftiller/decisions.py
@@ -148,7 +148,7 @@
         record.__dict__.update(fields, at=round(now, 4), part=self._part, box=self._box)
         self._lines.append(self._formatter.format(record))
 
-    async def flush_for_ever(self) -> None:
+    async def flush_periodically(self) -> None:
         """Flush the lines to standard output periodically."""
         while True:
             self.flush()
--- a/wharftiller/request_timeline.py
+++ b/wharftiller/request_timeline.py
@@ -44,7 +44,7 @@
     event: str
     fields: dict[str, Any]
 
-    def sentence(self) -> str:
+    def as_line(self) -> str:
         """Return the event and its fields on one line."""
         fields = " ".join(f"{key}={value}" for key, value in self.fields.items())
         return f"{self.at:.3f} {self.box} {self.event} {fields}".rstrip()
--- a/wharftiller/run_losses.py
+++ b/wharftiller/run_losses.py
@@ -41,7 +41,7 @@
         Start of the slice, in seconds after the first line.
     refused, unknown, late : int
         Statements refused, with an unknown outcome, and answered later than their goal.
-    too_early : int
+    before_failover : int
         Refused statements whose primary had not been silent long enough for a failover:
         no box could have served them.
     """
@@ -51,7 +51,7 @@
     refused: int = 0
     unknown: int = 0
     late: int = 0
-    too_early: int = 0
+    before_failover: int = 0
 
     @property
     def total(self) -> int:
@@ -73,7 +73,7 @@
             case "refused":
                 row = loss(event, _cause_of(fields))
                 row.refused += 1
-                row.too_early += _is_too_early(fields)
+                row.before_failover += _is_before_failover(fields)
             case "unsettled":
                 loss(event, _cause_of(fields)).unknown += 1
             case "answered" if fields.get("late"):
@@ -103,6 +103,6 @@
     return SLOW if fields.get("lead_silent_ms") is None else Cause.PRIMARY_SILENT.value
 
 
-def _is_too_early(fields: dict[str, object]) -> bool:
+def _is_before_failover(fields: dict[str, object]) -> bool:
     silent_ms = fields.get("lead_silent_ms")
     return isinstance(silent_ms, int) and silent_ms < UNREACHABLE_S * 1000
--- a/wharftiller/run_report.py
+++ b/wharftiller/run_report.py
@@ -25,7 +25,7 @@
     by_primaries: int
 
     @property
-    def part(self) -> float:
+    def fraction(self) -> float:
         """Fraction of the reads that replicas served."""
         return self.by_replicas / max(1, self.by_replicas + self.by_primaries)
 
@@ -39,7 +39,7 @@
     silent_s : float or None
         Time from the last log line that the old primary was silent until the new one was
         recorded, in seconds; None if no box logged such a line.
-    change_s : float
+    failover_s : float
         Time from the start of the failover until it was recorded, in seconds.
     """
 
@@ -48,7 +48,7 @@
     successor: str
     planned: bool
     silent_s: float | None
-    change_s: float
+    failover_s: float
 
 
 @attrs.frozen
@@ -65,7 +65,7 @@
     """
 
     reads: list[ReadShare]
-    changes: list[Failover]
+    failovers: list[Failover]
     refusals: dict[tuple[float, str], int]
     losses: list[Loss] = attrs.field(factory=list)
 
@@ -97,7 +97,7 @@
 def _failovers(events: list[LoggedEvent]) -> list[Failover]:
     started: dict[tuple[str, str], LoggedEvent] = {}
     orders: dict[str, list[LoggedEvent]] = collections.defaultdict(list)
-    changes = []
+    failovers = []
     for event in events:
         group = str(event.fields.get("group"))
         match event.event:
@@ -110,8 +110,8 @@
                     group = str(order.fields["group"])
                     start = started.get((event.box, group))
                     if start is not None:
-                        changes.append(_failover(events, group, start, order, event))
-    return changes
+                        failovers.append(_failover(events, group, start, order, event))
+    return failovers
 
 
 def _failover(
--- a/wharftiller/tests/core/test_configuration_changes.py
+++ b/wharftiller/tests/core/test_configuration_changes.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from wharftiller.core.configuration import Configuration, PoolSpec, QueueRule
-from wharftiller.core.configuration_changes import ConfigurationHolder, relays
+from wharftiller.core.configuration_changes import ConfigurationHolder, choose_relays
 
 
 def configuration(generation: int, pools: dict[str, int]) -> Configuration:
@@ -53,5 +53,5 @@
 class TestRelays:
     def test_every_box_names_the_same_relays(self) -> None:
         names = [f"box-{number}" for number in range(9)]
-        assert relays("hall-1", names) == relays("hall-1", names[::-1])
-        assert len(relays("hall-1", names)) == 3
+        assert choose_relays("hall-1", names) == choose_relays("hall-1", names[::-1])
+        assert len(choose_relays("hall-1", names)) == 3
--- a/wharftiller/tests/core/test_promotion.py
+++ b/wharftiller/tests/core/test_promotion.py
@@ -10,8 +10,7 @@
 from wharftiller.core.messages import ConfigurationArrived, Report, Role, Tick
 from wharftiller.core.steward import StewardCore
 from wharftiller.core.steward_messages import (
-    BoxesPlaced,
-    GiveOrder,
+    BoxesUpdated,
     GroupRecord,
     LeadState,
     Order,
@@ -20,6 +19,7 @@
     RecordConflict,
     RecordRead,
     RecordUpdated,
+    SendOrder,
     ServerReported,
     StewardInput,
     StewardOutput,
@@ -38,7 +38,7 @@
         self.now = 100.0
         self.outputs: list[StewardOutput] = []
         self.feed(ConfigurationArrived(CONFIGURATION))
-        self.feed(BoxesPlaced({box: "hall-1"}))
+        self.feed(BoxesUpdated({box: "hall-1"}))
         self.report("a", role=Role.PRIMARY)
         self.report("b")
         self.report("c")
@@ -70,10 +70,10 @@
     def outputs_of(self, kind: type[T]) -> list[T]:
         return [output for output in self.outputs if isinstance(output, kind)]
 
-    def orders(self, order: Order) -> list[GiveOrder]:
-        return [each for each in self.outputs_of(GiveOrder) if each.order is order]
+    def orders(self, order: Order) -> list[SendOrder]:
+        return [each for each in self.outputs_of(SendOrder) if each.order is order]
 
-    def answer(self, order: GiveOrder, *, accepted: bool = True, **fields: Any) -> None:
+    def answer(self, order: SendOrder, *, accepted: bool = True, **fields: Any) -> None:
         report = self.make_report(order.endpoint, promised=order.term, **fields)
         self.feed(OrderAnswered("g", order.endpoint, order.order, order.term, accepted, report))
 
--- a/wharftiller/tests/core/test_promotion_fuzz.py
+++ b/wharftiller/tests/core/test_promotion_fuzz.py
@@ -9,8 +9,7 @@
 
 from wharftiller.core.messages import ConfigurationArrived, Role, Tick
 from wharftiller.core.steward_messages import (
-    BoxesPlaced,
-    GiveOrder,
+    BoxesUpdated,
     GroupRecord,
     LeadState,
     Order,
@@ -20,7 +19,8 @@
     RecordConflict,
     RecordRead,
     RecordUpdated,
-    ServerSilent,
+    SendOrder,
+    ServerNotReporting,
     UpdateRecord,
 )
 from wharftiller.tests.core.driver import CONFIGURATION
@@ -52,7 +52,7 @@
                 role = Role.PRIMARY if b % 5 == 0 else Role.REPLICA
                 driver.report(name, term=1 + b % 3, position=a, role=role, primary_silent_ms=b * 99)
             case 5:
-                driver.feed(ServerSilent(name, driver.now))
+                driver.feed(ServerNotReporting(name, driver.now))
             case 6:
                 state = list(LeadState)[b % 2]
                 record = GroupRecord(a % 4, f"box-{b % 3}", state, name)
@@ -65,13 +65,13 @@
             case 10 | 11 | 12 | 13:
                 self.answer_order(a, b)
             case 14:
-                driver.feed(BoxesPlaced({"box-1": "hall-1", f"box-{a % 3}": "hall-2"}))
+                driver.feed(BoxesUpdated({"box-1": "hall-1", f"box-{a % 3}": "hall-2"}))
             case _:
                 driver.feed(ConfigurationArrived(CONFIGURATION))
         self.check()
 
     def answer_order(self, a: int, b: int) -> None:
-        orders = self.driver.outputs_of(GiveOrder)
+        orders = self.driver.outputs_of(SendOrder)
         if not orders:
             return
         order = orders[-1 - a % min(len(orders), 4)]
@@ -89,7 +89,7 @@
 
     def check(self) -> None:
         for output in self.driver.outputs[self.checked :]:
-            if isinstance(output, GiveOrder) and output.order is Order.PROMOTE:
+            if isinstance(output, SendOrder) and output.order is Order.PROMOTE:
                 fenced = self.fenced[output.term]
                 assert len(fenced) >= 2, output
                 ahead = [name for name in fenced if fenced[name] > fenced[output.endpoint]]
--- a/wharftiller/tests/core/test_watching.py
+++ b/wharftiller/tests/core/test_watching.py
@@ -7,7 +7,7 @@
 
 from wharftiller.core.messages import ConfigurationArrived, Tick
 from wharftiller.core.steward import StewardCore
-from wharftiller.core.steward_messages import AskReport, BoxesPlaced
+from wharftiller.core.steward_messages import BoxesUpdated, RequestReport
 from wharftiller.core.watching import WATCH_SHARDS, WATCHERS, watch_rank
 from wharftiller.tests.core.driver import CONFIGURATION
 
@@ -46,9 +46,9 @@
         for box in BOXES:
             core = StewardCore(box, random.Random(1))
             core.handle(ConfigurationArrived(CONFIGURATION), 1.0)
-            core.handle(BoxesPlaced(BOXES), 1.0)
+            core.handle(BoxesUpdated(BOXES), 1.0)
             outputs = core.handle(Tick(), 2.0)
-            request_counts.append(sum(isinstance(output, AskReport) for output in outputs))
+            request_counts.append(sum(isinstance(output, RequestReport) for output in outputs))
         assert Counter(request_counts) == {3: WATCHERS, 0: len(BOXES) - WATCHERS}
 
     def test_only_data_centres_with_endpoints_watch(self) -> None:
--- a/wharftiller/tests/test_run_report.py
+++ b/wharftiller/tests/test_run_report.py
@@ -65,10 +65,10 @@
         assert (share.reading, share.by_replicas, share.by_primaries) == ("BoundedReads", 2, 1)
 
     def test_a_change_is_timed_from_silence_and_from_the_decision(self, report: RunReport) -> None:
-        (change,) = report.changes
-        assert (change.old, change.successor) == ("one", "two")
-        assert change.silent_s == pytest.approx(1.8)
-        assert change.change_s == pytest.approx(0.8)
+        (failover,) = report.failovers
+        assert (failover.old, failover.successor) == ("one", "two")
+        assert failover.silent_s == pytest.approx(1.8)
+        assert failover.failover_s == pytest.approx(0.8)
 
     def test_two_groups_moved_in_one_record_are_two_changes(self) -> None:
         events = [
@@ -78,8 +78,8 @@
             line(1.4, "promotion_ordered", group="tours", endpoint="four", ok=True),
             line(1.8, "record_written", revision=4),
         ]
-        changes = report_of(read_events(events)).changes
-        assert [change.group for change in changes] == ["seats", "tours"]
+        failovers = report_of(read_events(events)).failovers
+        assert [failover.group for failover in failovers] == ["seats", "tours"]
 
     def test_refusals_are_counted_by_time_and_reason(self, report: RunReport) -> None:
         assert report.refusals == {(4.0, "no_capacity"): 2}
@@ -97,7 +97,7 @@
         assert report_of(read_events(events)).losses == [
             Loss(4.0, "change_of_primary", late=1),
             Loss(4.0, "outcome_unknown", unknown=1),
-            Loss(4.0, "primary_silent", refused=2, too_early=1),
+            Loss(4.0, "primary_silent", refused=2, before_failover=1),
             Loss(6.0, "not logged", refused=7),
         ]
 
@@ -140,6 +140,6 @@
             report = report_of(read_events(lines))
             assert [share.reading for share in report.reads] == ["BoundedReads"]
             assert report.reads[0].by_replicas > 0
-            assert [change.planned for change in report.changes] == [False]
+            assert [failover.planned for failover in report.failovers] == [False]
 
         run_in_world(scenario)
--- a/wharftiller/tests/test_traces.py
+++ b/wharftiller/tests/test_traces.py
@@ -19,7 +19,7 @@
 class TestRecordedTraces:
     def test_replay_gives_the_same_outputs(self, path: Path) -> None:
         for number, step in enumerate(replay(*read_trace(path)), start=2):
-            assert step.same, f"{path.name}:{number} {step.line.message} gave {step.outputs}"
+            assert step.is_same, f"{path.name}:{number} {step.line.message} gave {step.outputs}"
 
     def test_answers_are_those_stated(self, path: Path, snapshot: SnapshotAssertion) -> None:
         answers = [
--- a/wharftiller/traces.py
+++ b/wharftiller/traces.py
@@ -113,13 +113,13 @@
 
     Attributes
     ----------
-    same : bool
+    is_same : bool
         Whether the outputs equal the recorded ones.
     """
 
     line: TraceLine
     outputs: list[Output]
-    same: bool
+    is_same: bool
 
     @property
     def answers(self) -> list[AnswerCaller]:
