--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -140,7 +140,9 @@
         case "planned":
             letter = "a" if not primary.endswith("a") else "b"
             endpoint = f"group-1-{letter}"
-            await world.intend({"kind": "change_primary", "group": "group-1", "endpoint": endpoint})
+            await world.plan_and_confirm(
+                {"kind": "change_primary", "group": "group-1", "endpoint": endpoint}
+            )
 
 
 def overload(deployment: Deployment, seed: int) -> list[Measurement]:
@@ -161,7 +163,7 @@
         ]
         done = sum(1 for sample in load.samples if sample.outcome == "done")
         unknown = sum(1 for sample in load.samples if sample.outcome == "unknown")
-        client_ms = 2 * world.size.client_s * 1000
+        client_ms = 2 * world.size.client_latency_s * 1000
         measurements.extend(
             [
                 Measurement(
@@ -257,7 +259,7 @@
                 for box in world.boxes.values()
             )
 
-        await world.until(in_force)
+        await world.wait_until(in_force)
         values.append((trio.current_time() - started) * 1000)
 
     _run(deployment, seed, scenario)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -182,7 +182,9 @@
         async def change() -> None:
             started[0] = trio.current_time()
             rule = {"max_age_ms": 777}
-            await world.intend({"kind": "change_pool", "name": "tourdesk", "read_rule": rule})
+            await world.plan_and_confirm(
+                {"kind": "change_pool", "name": "tourdesk", "read_rule": rule}
+            )
 
         async def replace() -> None:
             started[0] = trio.current_time()
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -61,7 +61,7 @@
         address = self.layout["boxes"]["box-1"]["admin"]
         return await self.call(address, method, path, body, headers)
 
-    async def intend(self, intent: dict[str, Any]) -> Any:
+    async def plan_and_confirm(self, intent: dict[str, Any]) -> Any:
         """Plan and confirm an intent."""
         status, plan = await self.operate("POST", "/plans", intent)
         if status != 201:
@@ -118,7 +118,7 @@
             endpoints = [
                 {"name": name, **self.layout["endpoints"][name]} for name in group["endpoints"]
             ]
-            await self.intend(
+            await self.plan_and_confirm(
                 {"kind": "create_group", "group": {"name": group["name"], "endpoints": endpoints}}
             )
         names = [group["name"] for group in self.layout["groups"]]
--- a/wharftiller/tests/daemons/test_frozen_steward.py
+++ b/wharftiller/tests/daemons/test_frozen_steward.py
@@ -75,7 +75,7 @@
 
 
 async def _change_primary(world: World, target: str) -> None:
-    await world.intend(
+    await world.plan_and_confirm(
         {"kind": "change_primary", "group": "group-1", "endpoint": target}, box="box-2"
     )
 
--- a/wharftiller/tests/fakes/world.py
+++ b/wharftiller/tests/fakes/world.py
@@ -44,8 +44,8 @@
     boxes: int = 3
     data_centres: int = 3
     businesses: tuple[str, ...] = ("rila", "pirin", "vitosha", "musala")
-    between_s: float = 0.0015
-    client_s: float = 0.003
+    data_centre_latency_s: float = 0.0015
+    client_latency_s: float = 0.003
     max_connections: int = 25
     list_lag_s: float = 0.2
     service_ms: float = 1.0
@@ -124,11 +124,11 @@
         if a == b:
             return 0.00005
         if CLIENT in (a, b):
-            return self.size.client_s
+            return self.size.client_latency_s
         if PLATFORM in (a, b):
-            return self.size.between_s
+            return self.size.data_centre_latency_s
         same = self.data_centre_of.get(a) == self.data_centre_of.get(b)
-        return 0.0002 if same else self.size.between_s
+        return 0.0002 if same else self.size.data_centre_latency_s
 
     # Starting -----------------------------------------------------------
 
@@ -210,7 +210,7 @@
 
     async def _configure(self) -> None:
         for number in range(1, self.size.groups + 1):
-            await self.intend({"kind": "create_group", "group": self.group_body(number)})
+            await self.plan_and_confirm({"kind": "create_group", "group": self.group_body(number)})
         groups = [f"group-{number}" for number in range(1, self.size.groups + 1)]
         groups_by_business = {
             business: groups[index % len(groups)]
@@ -225,8 +225,8 @@
                 "replica_wait_ms": self.size.replica_wait_ms,
             },
         }
-        await self.intend({"kind": "create_pool", "pool": pool})
-        await self.until(self._all_ready)
+        await self.plan_and_confirm({"kind": "create_pool", "pool": pool})
+        await self.wait_until(self._all_ready)
 
     def group_body(self, number: int) -> dict[str, Any]:
         return {
@@ -256,7 +256,7 @@
 
     # Operators and callers ----------------------------------------------
 
-    async def until(self, condition: Callable[[], bool], timeout_s: float = 20.0) -> None:
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float = 20.0) -> None:
         with trio.fail_after(timeout_s):
             while not condition():
                 await trio.sleep(0.01)
@@ -270,7 +270,7 @@
         await client.aclose()
         return answer.json()
 
-    async def intend(self, intent: dict[str, Any], box: str = "box-1") -> Any:
+    async def plan_and_confirm(self, intent: dict[str, Any], box: str = "box-1") -> Any:
         plan = await self.admin("POST", "/plans", intent, box)
         assert "plan" in plan, plan
         return await self.admin("POST", f"/plans/{plan['plan']}/confirm", None, box)
--- a/wharftiller/tests/record_traces.py
+++ b/wharftiller/tests/record_traces.py
@@ -71,7 +71,7 @@
     async def scenario(world: World) -> None:
         box = await world.replace_box("box-1", file)
         groups = box.proxy.core.tables.groups
-        await world.until(lambda: any(group.primary for group in groups.values()))
+        await world.wait_until(lambda: any(group.primary for group in groups.values()))
         await trio.sleep(1)
         await run_steps(world)
 
--- a/wharftiller/tests/scenarios/runner.py
+++ b/wharftiller/tests/scenarios/runner.py
@@ -247,7 +247,7 @@
                     "group": endpoint[:-2],
                     "endpoint": endpoint,
                 }
-                await world.intend(intent, step.box)
+                await world.plan_and_confirm(intent, step.box)
             case "plan_age":
                 rule = {"max_age_ms": round(step.seconds * 1000)}
                 intent = {"kind": "change_pool", "name": POOL, "read_rule": rule}
@@ -310,7 +310,7 @@
                 for box in self._world.boxes.values()
             )
 
-        await self._world.until(is_in_force, expect.seconds or 0)
+        await self._world.wait_until(is_in_force, expect.seconds or 0)
 
     async def _expect_no_work(self, expect: Expect) -> None:
         assert expect.target is not None
