--- a/benchmarks/sessions/run.py
+++ b/benchmarks/sessions/run.py
@@ -103,22 +103,22 @@
                 await trio.sleep(fault.for_s)
                 group.lag_s = before
             case "platform_away":
-                world.store.mode = StoreMode.AWAY
+                world.store.mode = StoreMode.UNAVAILABLE
                 await trio.sleep(fault.for_s)
-                world.store.mode = StoreMode.WELL
+                world.store.mode = StoreMode.NORMAL
 
     async def _power_off_all(self, down_s: float) -> None:
         """End every box; endpoints keep their connections for as long as the plan says."""
         until = trio.current_time() + self._plan.linger_s
         for group in self.world.groups:
             for server in group.servers:
-                server.lingering = {box.ip: until for box in self.world.boxes.values()}
+                server.lingering_until = {box.ip: until for box in self.world.boxes.values()}
         for box in list(self.world.boxes.values()):
             await self.world.kill_box(box)
         await trio.sleep(down_s)
         for group in self.world.groups:
             for server in group.servers:
-                server.lingering = {}
+                server.lingering_until = {}
         for name, centre in self.homes.items():
             await self.world.start_box(int(name.partition("-")[2]), CENTRES[centre])
 
--- a/standins/database.py
+++ b/standins/database.py
@@ -66,7 +66,7 @@
         Newest promised term; requests of older terms are refused.
     promised_attempt : str
         Attempt that the term was promised to; empty if the term came by replication.
-    leads_in : int
+    leading_term : int
         Term in which the server is primary; 0 for a replica.
     term_ends : dict of int to int
         Index of the last record, per term of the log.
@@ -79,7 +79,7 @@
     name: str
     promised: int = 0
     promised_attempt: str = ""
-    leads_in: int = 0
+    leading_term: int = 0
     leaving: bool = False
     quiesce: int = QUIESCE_NOTHING
     log: list[Record] = attrs.field(factory=list)
@@ -98,7 +98,7 @@
     @property
     def leads(self) -> bool:
         """Whether the server is primary and has promised no later term."""
-        return self.leads_in > 0 and self.leads_in == self.promised
+        return self.leading_term > 0 and self.leading_term == self.promised
 
     def report(self, primary_silent_ms: int = 0) -> Report:
         """Return the report on the server's state."""
@@ -135,10 +135,10 @@
         """
         if term != self.promised or attempt != self.promised_attempt:
             return False
-        if self.leads_in != term:
+        if self.leading_term != term:
             if self.log_term >= term:
                 return False
-            self.leads_in = term
+            self.leading_term = term
             self.quiesce = QUIESCE_NOTHING
             self._append(Record(term, "open"))
         return True
@@ -173,8 +173,8 @@
         if term > self.promised:
             self.promised = term
             self.promised_attempt = ""
-        if self.leads_in != term:
-            self.leads_in = 0
+        if self.leading_term != term:
+            self.leading_term = 0
             self.quiesce = QUIESCE_NOTHING
         for index, record in enumerate(records, start=common):
             if index < len(self.log):
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -202,7 +202,7 @@
             case "/quiesce":
                 return self._quiesce(body)
             case "/heartbeat":
-                leads = self.database.leads and self.database.leads_in == body["term"]
+                leads = self.database.leads and self.database.leading_term == body["term"]
                 return HttpResponse(200 if leads else 409, {})
             case "/pull":
                 return await self._serve_pull(body)
@@ -221,7 +221,7 @@
         return self._order_response(done)
 
     def _follow(self, term: int, address: str) -> HttpResponse:
-        if term < self.database.promised or self.database.leads_in == term:
+        if term < self.database.promised or self.database.leading_term == term:
             return self._order_response(False)
         self._followed = (term, address)
         self._followed_changed.set()
@@ -254,12 +254,12 @@
         ends = {int(term): index for term, index in body["ends"]}
         database = self.database
         with trio.move_on_after(body["wait_ms"] / 1000):
-            while database.leads_in == body["term"]:
+            while database.leading_term == body["term"]:
                 common, records = database.records_after(ends, MAX_PULL_RECORDS)
                 if records or ends.get(database.log_term) != len(database.log):
                     break
                 await self._log_grown.wait()
-        if not database.leads or database.leads_in != body["term"]:
+        if not database.leads or database.leading_term != body["term"]:
             return HttpResponse(409, {"error": "does not lead in that term"})
         common, records = database.records_after(ends, MAX_PULL_RECORDS)
         return HttpResponse(
--- a/standins/line_endpoints.py
+++ b/standins/line_endpoints.py
@@ -42,7 +42,7 @@
     ----------
     log : list of Record
         Received records.
-    deaf : bool
+    replication_suspended : bool
         Whether replication to this server is suspended.
     opened : int
         Connections accepted since the start.
@@ -50,13 +50,13 @@
         How many of the next statements are rejected as busy, or run without a reply.
     started : list of str
         Ids of the statements that ran in a slot.
-    ran_for : dict of str to str
+    client_by_request : dict of str to str
         Client name per statement id, as given when the connection was opened.
-    ran_at : list of (float, str)
+    run_times : list of (float, str)
         Time of each run, in seconds, and the client name.
     waiting : int
         Statements and new connections that wait for a slot.
-    lingering : dict of str to float
+    lingering_until : dict of str to float
         Hosts that lost power, and the time until which their connections still count, in seconds.
     """
 
@@ -67,7 +67,7 @@
     leads: bool = False
     term: int = 1
     log: list[Record] = attrs.field(factory=list)
-    deaf: bool = False
+    replication_suspended: bool = False
     leaving: bool = False
     down: bool = False
     connections: int = 0
@@ -75,10 +75,10 @@
     busy_answers: int = 0
     lose_answers: int = 0
     started: list[str] = attrs.field(factory=list)
-    ran_for: dict[str, str] = attrs.field(factory=dict)
-    ran_at: list[tuple[float, str]] = attrs.field(factory=list)
+    client_by_request: dict[str, str] = attrs.field(factory=dict)
+    run_times: list[tuple[float, str]] = attrs.field(factory=list)
     waiting: int = 0
-    lingering: dict[str, float] = attrs.field(factory=dict)
+    lingering_until: dict[str, float] = attrs.field(factory=dict)
     _slots: trio.Semaphore | None = None
 
     @asynccontextmanager
@@ -178,7 +178,13 @@
         """Copy the log of ``source`` to the other servers after the lag."""
         await trio.sleep(self.lag_s)
         for server in self.servers:
-            if server is source or server.leads or server.deaf or source.down or server.down:
+            if (
+                server is source
+                or server.leads
+                or server.replication_suspended
+                or source.down
+                or server.down
+            ):
                 continue
             if source.term == self.primary.term:
                 server.log = list(source.log)
@@ -196,7 +202,7 @@
         server.term = max(each.term for each in self.servers) + 1
         server.leads = True
         for other in self.servers:
-            if not other.leads and not other.deaf and not other.down:
+            if not other.leads and not other.replication_suspended and not other.down:
                 other.log = list(server.log)
                 other.term = server.term
         return True
@@ -237,7 +243,7 @@
         finally:
             remote_ip = getattr(stream, "remote_ip", "")
             with trio.CancelScope(shield=True):
-                await trio.sleep_until(server.lingering.get(remote_ip, -math.inf))
+                await trio.sleep_until(server.lingering_until.get(remote_ip, -math.inf))
             server.connections -= 1
 
     await transport.serve(server.address, handle, task_status)
@@ -343,8 +349,8 @@
     async with server.slot():
         await trio.sleep(server.group.work_s)
     server.started.append(request_id)
-    server.ran_for[request_id] = connection.client_name
-    server.ran_at.append((trio.current_time(), connection.client_name))
+    server.client_by_request[request_id] = connection.client_name
+    server.run_times.append((trio.current_time(), connection.client_name))
     done = f"COMPLETE {proof(server, request_id, text)}"
     words = text.split(" ")
     if words[0] == "EXECUTE":
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -20,8 +20,8 @@
 class StoreMode(enum.Enum):
     """How the store responds: normally, not at all, or with 503."""
 
-    WELL = "well"
-    AWAY = "away"
+    NORMAL = "well"
+    UNAVAILABLE = "away"
     BUSY = "busy"
 
 
@@ -54,9 +54,9 @@
     ----------
     lose_answers : int
         How many of the next changes take effect without a reply.
-    deaf_watches : bool
+    watches_suspended : bool
         Whether watches deliver nothing, as during compaction.
-    slow_lists : dict of str to float
+    list_delays : dict of str to float
         Delay of list calls per kind, in seconds.
     calls, listed : int
         Number of calls received and of objects returned in lists.
@@ -71,10 +71,10 @@
         self._compacted_revision = 0
         self._changed = trio.Event()
         self.revision = 0
-        self.mode = StoreMode.WELL
+        self.mode = StoreMode.NORMAL
         self.lose_answers = 0
-        self.deaf_watches = False
-        self.slow_lists: dict[str, float] = {}
+        self.watches_suspended = False
+        self.list_delays: dict[str, float] = {}
         self.calls = 0
         self.listed = 0
         self.era = 1
@@ -149,7 +149,7 @@
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
         self.calls += 1
-        if self.mode is StoreMode.AWAY:
+        if self.mode is StoreMode.UNAVAILABLE:
             await trio.sleep_forever()
         if self.mode is StoreMode.BUSY:
             return HttpResponse(503, {})
@@ -175,7 +175,7 @@
             case ("GET", []) if "Watch" in request.query:
                 return await self._watch(kind, request.query)
             case ("GET", []):
-                await trio.sleep(self.slow_lists.get(kind, 0.0))
+                await trio.sleep(self.list_delays.get(kind, 0.0))
                 after = request.query.get("after", "")
                 items = [
                     v
@@ -222,7 +222,7 @@
                 if since < self._compacted_revision or since > self.revision:
                     return HttpResponse(410, {})
                 events = self._events(kind, since)
-                if events and not self.deaf_watches:
+                if events and not self.watches_suspended:
                     return HttpResponse(200, {"events": events, "CurrentRev": self.revision})
                 await self._changed.wait()
         return HttpResponse(200, {"events": [], "CurrentRev": self.revision})
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -74,7 +74,7 @@
     _read_bucket: _TokenBucket = attrs.field(factory=_TokenBucket)
     _write_bucket: _TokenBucket = attrs.field(factory=_TokenBucket)
 
-    def list_boxes(self, boxes: list[BoxEntry]) -> None:
+    def set_boxes(self, boxes: list[BoxEntry]) -> None:
         """Set the list of boxes; it becomes visible ``list_lag_s`` later."""
         visible_at = trio.current_time() + self.list_lag_s if self._boxes else -math.inf
         self._boxes.append((visible_at, boxes))
@@ -166,7 +166,7 @@
 
     def _handle_control(self, body: Any) -> HttpResponse:
         if "boxes" in body:
-            self.list_boxes(from_peer(body.pop("boxes"), list[BoxEntry]))
+            self.set_boxes(from_peer(body.pop("boxes"), list[BoxEntry]))
         for name, value in body.items():
             setattr(self.faults, name, value)
         if self.faults.outage:
--- a/wharftiller/tests/fakes/histories.py
+++ b/wharftiller/tests/fakes/histories.py
@@ -135,7 +135,7 @@
         database = self.servers[number]
         self._written += 1
         name = f"w{self._written}"
-        answer = database.write(name, "b", {"put": "k", "value": 1}, database.leads_in)
+        answer = database.write(name, "b", {"put": "k", "value": 1}, database.leading_term)
         if answer.position:
             index = max(answer.position, database.opened)
             target = LogPosition(answer.report.log_term, index)
@@ -143,11 +143,11 @@
 
     def _pull(self, follower: int, leader: int) -> None:
         source = self.servers[leader]
-        if follower == leader or not source.leads_in or source.log_term != source.leads_in:
+        if follower == leader or not source.leading_term or source.log_term != source.leading_term:
             return
         ends = dict(self.servers[follower].term_ends)
         common, records = source.records_after(ends, 2)
-        self.pulls.append(_Pull(follower, source.leads_in, common, records))
+        self.pulls.append(_Pull(follower, source.leading_term, common, records))
 
     def _acknowledge(self, report: Report) -> None:
         for write in list(self.pending):
--- a/wharftiller/tests/fakes/world.py
+++ b/wharftiller/tests/fakes/world.py
@@ -140,7 +140,7 @@
                 await self._start_endpoint(f"group-{number}-{letter}", data_centre)
         for number in range(1, self.size.boxes + 1):
             self._prepare_box(f"box-{number}", (number - 1) % self.size.data_centres)
-        self.list_boxes()
+        self.set_boxes()
         for box in self.boxes.values():
             await self._start_box(box)
         await self._configure()
@@ -200,8 +200,8 @@
 
         await self.nursery.start(run)
 
-    def list_boxes(self) -> None:
-        self.platform.list_boxes(
+    def set_boxes(self) -> None:
+        self.platform.set_boxes(
             [
                 BoxEntry(box.name, box.settings.box.data_centre, f"{box.ip}:7200", f"{box.ip}:7100")
                 for box in self.boxes.values()
@@ -306,7 +306,7 @@
     def primary(self, group: int = 1) -> str:
         """Return the server that is primary in the highest term."""
         names = [f"group-{group}-{letter}" for letter in "abc"]
-        return max(names, key=lambda name: self.endpoints[name].database.leads_in)
+        return max(names, key=lambda name: self.endpoints[name].database.leading_term)
 
     def kill_box(self, name: str) -> None:
         self.boxes[name].scope.cancel()
@@ -318,7 +318,7 @@
         old = self.boxes.pop(name)
         self._prepare_box(name, self.data_centre_of[old.ip], trace)
         await self._start_box(self.boxes[name])
-        self.list_boxes()
+        self.set_boxes()
         return self.boxes[name]
 
 
--- a/wharftiller/tests/platform/test_allowances.py
+++ b/wharftiller/tests/platform/test_allowances.py
@@ -98,7 +98,7 @@
 def fullest_window(world: World, name: str) -> int:
     """Return the maximum number of a workspace's operations in any window."""
     servers = [server for group in world.groups for server in group.servers]
-    times = sorted(when for server in servers for when, who in server.ran_at if who == name)
+    times = sorted(when for server in servers for when, who in server.run_times if who == name)
     window_s = BOUNDS.allowances.window_s
     ends = [bisect.bisect_left(times, when + window_s) for when in times]
     return max((end - start for start, end in enumerate(ends)), default=0)
--- a/wharftiller/tests/platform/test_bounds.py
+++ b/wharftiller/tests/platform/test_bounds.py
@@ -50,7 +50,7 @@
 
     def test_a_change_missed_by_watches_is_in_force_in_time(self, bounds: PlatformBounds) -> None:
         async def scenario(world: World) -> None:
-            world.store.deaf_watches = True
+            world.store.watches_suspended = True
             document = world.store.spec("config", "main")
             world.store.set("config", "main", {**document, "Version": 7})
             await trio.sleep(bounds.configuration_in_force_s - 0.1)
--- a/wharftiller/tests/platform/test_failovers.py
+++ b/wharftiller/tests/platform/test_failovers.py
@@ -57,7 +57,7 @@
     def test_the_most_advanced_replica_takes_over(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            group.servers[2].deaf = True
+            group.servers[2].replication_suspended = True
             caller = await world.call(world.boxes["box-1"], "primary")
             await caller.ask("WRITE seat1 anna")
             await trio.sleep(0.2)
@@ -116,7 +116,7 @@
 
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            group.servers[1].deaf = True
+            group.servers[1].replication_suspended = True
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
             boxes = [box.ip for box in world.boxes.values()]
@@ -127,7 +127,7 @@
             world.network.heal()
             world.kill_server(group.servers[0])
             # The new primary needs a synchronous replica too.
-            group.servers[1].deaf = False
+            group.servers[1].replication_suspended = False
             await write_until_done(caller, "WRITE seat2 boris", 8.0)
             assert {name for name, _, _ in group.promotions} == {"seats-2"}
             assert (await caller.ask("READ seat1"))[0] == "ROW anna"
@@ -137,7 +137,7 @@
     def test_a_leaving_primary_fails_over_to_a_replica_that_lacks_nothing(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            group.servers[1].deaf = True
+            group.servers[1].replication_suspended = True
             caller = await world.call(world.boxes["box-1"], "primary")
             assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
             group.servers[0].leaving = True
@@ -198,10 +198,10 @@
     def test_an_entry_that_lapsed_during_an_outage_causes_no_failover(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            world.store.mode = StoreMode.AWAY
+            world.store.mode = StoreMode.UNAVAILABLE
             await trio.sleep(4.0)
             world.store.remove("servers", group.primary.name)
-            world.store.mode = StoreMode.WELL
+            world.store.mode = StoreMode.NORMAL
             await trio.sleep(2.0)
             world.register(group.primary)
             await trio.sleep(6.0)
--- a/wharftiller/tests/platform/test_failovers_under_failures.py
+++ b/wharftiller/tests/platform/test_failovers_under_failures.py
@@ -53,7 +53,7 @@
     def test_an_outage_of_the_platform_stops_no_write(self) -> None:
         async def scenario(world: World) -> None:
             caller = await world.call(world.boxes["box-1"], "primary")
-            world.store.mode = StoreMode.AWAY
+            world.store.mode = StoreMode.UNAVAILABLE
             for number in range(100):
                 assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
                 await trio.sleep(0.1)
@@ -87,7 +87,7 @@
     def test_a_large_configuration_on_a_slow_link_blocks_nothing(self) -> None:
         async def scenario(world: World) -> None:
             await world.kill_box(world.boxes["box-1"])
-            world.store.slow_lists = {"config": 1.0}
+            world.store.list_delays = {"config": 1.0}
             box = await world.start_box(1)
             await trio.sleep(3)
             assert box.process.proxy is not None
@@ -111,7 +111,7 @@
 
     def test_a_change_missed_by_all_watches_is_in_force_in_time(self) -> None:
         async def scenario(world: World) -> None:
-            world.store.deaf_watches = True
+            world.store.watches_suspended = True
             document = world.store.spec("config", "main")
             world.store.set("config", "main", {**document, "Version": 7})
             await trio.sleep(2.8)
@@ -123,7 +123,7 @@
 
     def test_a_change_is_in_force_in_time_though_the_reader_is_cut_off(self) -> None:
         async def scenario(world: World) -> None:
-            world.store.deaf_watches = True
+            world.store.watches_suspended = True
             readers = [
                 box
                 for box in world.boxes.values()
--- a/wharftiller/tests/platform/test_isolation.py
+++ b/wharftiller/tests/platform/test_isolation.py
@@ -150,7 +150,7 @@
 
     def test_an_outage_of_the_platform_isolates_no_box(self) -> None:
         async def scenario(world: World) -> None:
-            world.store.mode = StoreMode.AWAY
+            world.store.mode = StoreMode.UNAVAILABLE
             await world.kill_box(world.boxes["box-3"])
             for _ in range(100):
                 await trio.sleep(0.1)
--- a/wharftiller/tests/platform/test_load_peaks.py
+++ b/wharftiller/tests/platform/test_load_peaks.py
@@ -83,7 +83,7 @@
             route["Priority"] = 0 if route["Kind"] == URGENT else 1
         world.configure(2, Routes=routes)
         for server in world.groups[0].servers[1:]:
-            server.deaf = True
+            server.replication_suspended = True
         writer = await world.call(world.boxes["box-1"], URGENT)
         await writer.ask("WRITE seat1 anna")
         await trio.sleep(SHARED_READ_S + 3.0)
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -55,7 +55,7 @@
             await trio.sleep(5)
             callers = [await world.call(box, "primary") for box in world.boxes.values()]
             monkeypatch.setattr(BoxDirectory, "post", counting)
-            world.store.mode = StoreMode.AWAY
+            world.store.mode = StoreMode.UNAVAILABLE
             calls = world.store.calls
             until = trio.current_time() + OUTAGE_S
             while trio.current_time() < until:
@@ -76,7 +76,7 @@
                 if box is not gateway and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
             )
             caller = await world.call(other, "primary")
-            world.store.mode = StoreMode.AWAY
+            world.store.mode = StoreMode.UNAVAILABLE
             await trio.sleep(OUTAGE_S)
             await world.kill_box(gateway)
             assert await write_until_done(caller, "WRITE seat1 x", AVOIDED_S) < 1.0
@@ -95,7 +95,7 @@
                 for box in world.boxes.values()
                 if box is not gateway and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
             )
-            world.store.mode = StoreMode.AWAY
+            world.store.mode = StoreMode.UNAVAILABLE
             await world.kill_box(gateway)
             gateway = await world.start_box(int(gateway.name.removeprefix("box-")))
             await trio.sleep(AVOIDED_S + 1.0)
--- a/wharftiller/tests/platform/test_readers.py
+++ b/wharftiller/tests/platform/test_readers.py
@@ -71,7 +71,7 @@
     def test_an_outage_of_the_platform_stops_no_write(self) -> None:
         async def scenario(world: World) -> None:
             callers = [await world.call(box, "primary") for box in world.boxes.values()]
-            world.store.mode = StoreMode.AWAY
+            world.store.mode = StoreMode.UNAVAILABLE
             # Boxes renew leases through each other while their list is younger than 12 s.
             until = trio.current_time() + 10
             while trio.current_time() < until:
@@ -94,7 +94,7 @@
     def test_a_reader_cut_from_the_platform_is_not_relied_on(self) -> None:
         async def scenario(world: World) -> None:
             world.network.cut([world.boxes[reader_names(world)[0]].ip], [STORE_IP])
-            world.store.deaf_watches = True
+            world.store.watches_suspended = True
             document = world.store.spec("config", "main")
             await trio.sleep(3)
             world.store.set("config", "main", {**document, "Version": 7})
--- a/wharftiller/tests/platform/test_reads.py
+++ b/wharftiller/tests/platform/test_reads.py
@@ -26,7 +26,7 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             for replica in group.servers[1:]:
-                replica.deaf = True
+                replica.replication_suspended = True
             writer = await world.call(world.boxes["box-1"], "primary")
             reader = await world.call(world.boxes["box-2"], "bounded_staleness")
             await writer.ask("WRITE seat1 anna")
--- a/wharftiller/tests/platform/test_restored_platform.py
+++ b/wharftiller/tests/platform/test_restored_platform.py
@@ -41,10 +41,10 @@
 
 async def restore(world: World, copy: object) -> None:
     """Restore the platform from a copy after an outage of `OUTAGE_S`."""
-    world.store.mode = StoreMode.AWAY
+    world.store.mode = StoreMode.UNAVAILABLE
     await trio.sleep(OUTAGE_S)
     world.store.restore(copy)  # type: ignore[arg-type]
-    world.store.mode = StoreMode.WELL
+    world.store.mode = StoreMode.NORMAL
 
 
 async def replace_cut_off_primary(world: World) -> None:
--- a/wharftiller/tests/platform/test_workspaces.py
+++ b/wharftiller/tests/platform/test_workspaces.py
@@ -54,7 +54,7 @@
 def server_that_ran(world: World, request_id: str) -> LineServer:
     """Return the only server that ran a statement."""
     servers = [each for group in world.groups for each in group.servers]
-    (found,) = [each for each in servers if request_id in each.ran_for]
+    (found,) = [each for each in servers if request_id in each.client_by_request]
     return found
 
 
@@ -70,7 +70,7 @@
                 for kind, text in [("w", "WRITE seat1 anna"), ("r", "READ seat1")]:
                     request_id = f"{kind}{number}"
                     assert "COMPLETE" in (await caller.ask(text, request_id))[1]
-                    assert server_that_ran(world, request_id).ran_for[request_id] == name
+                    assert server_that_ran(world, request_id).client_by_request[request_id] == name
 
         run_with_workspaces(scenario)
 
@@ -82,7 +82,7 @@
                 await caller.ask("BEGIN")
                 request_id = f"{name}-in-transaction"
                 assert (await caller.ask("WRITE seat1 anna", request_id))[0] == "ROW written"
-                assert server_that_ran(world, request_id).ran_for[request_id] == name
+                assert server_that_ran(world, request_id).client_by_request[request_id] == name
                 assert (await caller.ask("COMMIT"))[0].startswith("COMPLETE")
                 caller.close()
 
@@ -145,7 +145,9 @@
                 assert lines[0].startswith("ERROR NOAUTH"), lines
                 assert lines[-1].startswith("READY I")
                 assert (await caller.ask("BEGIN"))[0].startswith("ERROR NOAUTH")
-            assert not any(each.ran_for.keys() & {"late-0"} for each in world.groups[0].servers)
+            assert not any(
+                each.client_by_request.keys() & {"late-0"} for each in world.groups[0].servers
+            )
 
         run_with_workspaces(scenario)
 
@@ -168,8 +170,8 @@
             world.configure(3, Tenants=[tenant("rila"), tenant("vitosha", VITOSHA, RILA)])
             await trio.sleep(IN_FORCE_S)
             await caller.ask("WRITE seat1 boris", "after")
-            ran_for = world.groups[0].primary.ran_for
-            assert (ran_for["before"], ran_for["after"]) == ("rila", "vitosha")
+            client_by_request = world.groups[0].primary.client_by_request
+            assert (client_by_request["before"], client_by_request["after"]) == ("rila", "vitosha")
 
         run_with_workspaces(scenario)
 
@@ -210,7 +212,7 @@
                     while data := await metrics.receive_some():
                         texts.append(data.decode())
             for server in world.groups[0].servers:
-                texts += server.ran_for.values()
+                texts += server.client_by_request.values()
             assert not [key for key in (RILA, VITOSHA, garbage) for text in texts if key in text]
 
         run_with_workspaces(scenario)
--- a/wharftiller/tests/scenarios/runner.py
+++ b/wharftiller/tests/scenarios/runner.py
@@ -284,7 +284,7 @@
                 assert expect.target is not None
                 assert world.primary() == self._host(expect.target)
             case "term":
-                leads = [each.database.leads_in for each in world.endpoints.values()]
+                leads = [each.database.leading_term for each in world.endpoints.values()]
                 assert max(leads) == expect.number, leads
             case "in_force":
                 await self._expect_in_force(expect)
--- a/wharftiller/tests/soak/callers.py
+++ b/wharftiller/tests/soak/callers.py
@@ -8,7 +8,7 @@
 import trio
 
 from wharftiller.tests.platform.world import Caller
-from wharftiller.tests.soak.ledger import ReadResult, WriteOutcome
+from wharftiller.tests.soak.history import ReadResult, WriteOutcome
 
 if TYPE_CHECKING:
     from wharftiller.tests.soak.deployment import BoxProcess, Deployment
--- a/wharftiller/tests/soak/deployment.py
+++ b/wharftiller/tests/soak/deployment.py
@@ -21,7 +21,7 @@
 from standins.object_store import ObjectStoreStandIn
 from wharftiller.edges.transport import TcpTransport
 from wharftiller.tests.platform.world import configuration
-from wharftiller.tests.soak.ledger import History, RecordingGroup
+from wharftiller.tests.soak.history import History, RecordingGroup
 from wharftiller.tests.soak.links import Link
 
 if TYPE_CHECKING:
--- a/wharftiller/tests/soak/faults.py
+++ b/wharftiller/tests/soak/faults.py
@@ -88,9 +88,9 @@
 async def _inject_server_fault(server: LineServer, fault: Fault) -> None:
     match fault.kind:
         case FaultKind.REPLICATION_SUSPENDED:
-            server.deaf = True
+            server.replication_suspended = True
             await trio.sleep(fault.for_s)
-            server.deaf = False
+            server.replication_suspended = False
         case FaultKind.LOST_REPLY:
             server.lose_answers += 1
         case _:
@@ -102,16 +102,18 @@
     match fault.kind:
         case FaultKind.STORE_UNAVAILABLE | FaultKind.STORE_BUSY:
             store.mode = (
-                StoreMode.AWAY if fault.kind is FaultKind.STORE_UNAVAILABLE else StoreMode.BUSY
+                StoreMode.UNAVAILABLE
+                if fault.kind is FaultKind.STORE_UNAVAILABLE
+                else StoreMode.BUSY
             )
             await trio.sleep(fault.for_s)
-            store.mode = StoreMode.WELL
+            store.mode = StoreMode.NORMAL
         case FaultKind.STORE_LOSES_REPLIES:
             store.lose_answers += 2
         case FaultKind.STORE_COMPACTS_HISTORY:
-            store.deaf_watches = True
+            store.watches_suspended = True
             await trio.sleep(WATCHES_SUSPENDED_S)
-            store.deaf_watches = False
+            store.watches_suspended = False
             store.compact_history()
         case FaultKind.CHANGE_CONFIGURATION:
             deployment.configure()
--- a/wharftiller/tests/soak/run.py
+++ b/wharftiller/tests/soak/run.py
@@ -12,7 +12,7 @@
 from wharftiller.tests.soak.callers import SoakCaller
 from wharftiller.tests.soak.deployment import Deployment
 from wharftiller.tests.soak.faults import inject_fault
-from wharftiller.tests.soak.ledger import History
+from wharftiller.tests.soak.history import History
 from wharftiller.tests.soak.links import Link
 from wharftiller.tests.soak.plan import FaultKind, plan_faults
 
--- a/wharftiller/tests/soak/test_soak.py
+++ b/wharftiller/tests/soak/test_soak.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from wharftiller.tests.soak.ledger import Commit, History, ReadResult, WriteOutcome
+from wharftiller.tests.soak.history import Commit, History, ReadResult, WriteOutcome
 from wharftiller.tests.soak.run import Shape, SoakRun
 
 SHORT = Shape(seconds=5.0)
