--- a/benchmarks/sessions/callers.py
+++ b/benchmarks/sessions/callers.py
@@ -102,7 +102,7 @@
                 session.caller = await self._open(session)
             writes = self._random.random() < WRITES[session.kind]
             text = f"{'WRITE' if writes else 'READ'} thing{self._random.randrange(500)}"
-            lines = await session.caller.ask(f"{text} x" if writes else text)
+            lines = await session.caller.execute(f"{text} x" if writes else text)
             whole = bool(lines) and lines[-1].startswith("READY")
         except (ExchangeError, trio.BrokenResourceError, trio.ClosedResourceError):
             return "failed"
@@ -120,6 +120,6 @@
         stream = await self._balancer.connect(session.data_centre)
         caller = Caller(stream)
         await caller.send(f"CONNECT {session.group}-{session.kind} desk\r\n".encode())
-        if await caller.line() != "READY I -":
+        if await caller.read_line() != "READY I -":
             raise ExchangeError("the box takes no session; ask another")
         return caller
--- a/wharftiller/tests/platform/test_allowances.py
+++ b/wharftiller/tests/platform/test_allowances.py
@@ -48,7 +48,7 @@
         self.refused_after_s: list[float] = []
 
     async def run(self, boxes: list[BoxProcess], for_s: float) -> None:
-        callers = [await self._world.call(box, "primary", key=self._key) for box in boxes]
+        callers = [await self._world.open_session(box, "primary", key=self._key) for box in boxes]
         async with trio.open_nursery() as nursery:
             until = trio.current_time() + for_s
             number = 0
@@ -61,9 +61,9 @@
         self._sent += 1
         number = self._sent
         box = boxes[number % len(boxes)]
-        caller = await self._world.call(box, "primary", key=self._key)
+        caller = await self._world.open_session(box, "primary", key=self._key)
         sent_at = trio.current_time()
-        lines = await caller.ask(f"WRITE seat{number} guest", f"{self._key}-{number}")
+        lines = await caller.execute(f"WRITE seat{number} guest", f"{self._key}-{number}")
         caller.close()
         if lines[0].startswith("ERROR"):
             self.outcomes["refused"] += 1
@@ -219,11 +219,11 @@
 
         async def scenario(world: World) -> None:
             server, box, _ = (world.boxes[n] for n in token_server_order("calm", DATA_CENTRE_A))
-            caller = await world.call(box, "primary", key="key-of-calm")
-            assert (await caller.ask("READ seat1"))[0].startswith("ROW")
+            caller = await world.open_session(box, "primary", key="key-of-calm")
+            assert (await caller.execute("READ seat1"))[0].startswith("ROW")
             await trio.sleep(1.0)
             world.network.cut([box.ip], [server.ip])
-            refusal = (await caller.ask("READ seat1"))[0]
+            refusal = (await caller.execute("READ seat1"))[0]
             assert refusal.startswith("ERROR BUSY no box that keeps the allowance"), refusal
 
         run_with_allowances(scenario, boxes=3 * len(DATA_CENTRE_A), max_connections=40)
@@ -232,13 +232,13 @@
 class TestOperations:
     def test_a_transaction_counts_once(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary", key="key-of-calm")
+            caller = await world.open_session(world.boxes["box-1"], "primary", key="key-of-calm")
             for number in range(4):
-                await caller.ask("BEGIN")
+                await caller.execute("BEGIN")
                 for step in range(10):
-                    answer = await caller.ask(f"WRITE seat{step} guest{number}")
+                    answer = await caller.execute(f"WRITE seat{step} guest{number}")
                     assert answer[0] == "ROW written", answer
-                assert (await caller.ask("COMMIT"))[0].startswith("COMPLETE")
+                assert (await caller.execute("COMMIT"))[0].startswith("COMPLETE")
 
         run_with_allowances(scenario)
 
--- a/wharftiller/tests/platform/test_bad_input.py
+++ b/wharftiller/tests/platform/test_bad_input.py
@@ -76,8 +76,8 @@
                     while await stream.receive_some():
                         pass
                 stream.close_now()  # type: ignore[attr-defined]
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
 
         run_in_world(scenario, boxes=1)
 
@@ -85,8 +85,8 @@
         async def scenario(world: World) -> None:
             for _ in range(500):
                 await world.network.host("10.8.0.2").connect("10.1.0.1:1")
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
 
         run_in_world(scenario, boxes=1)
 
@@ -109,8 +109,8 @@
             world.store.set("config", "main", {"Version": 9})
             world.store.set("wharftiller", "box.odd", ["odd"])
             await trio.sleep(2)
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
             box = world.boxes["box-1"]
             assert box.events("configuration_not_understood")
             assert box.events("endpoint_not_understood")
@@ -320,8 +320,8 @@
                 world.register(world.groups[0].servers[1])
                 world.store.set("servers", "strange-0", 7)
                 await trio.sleep(1.0)
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
             logged = world.boxes["box-1"].events("endpoint_not_understood")
             # Logged once per revision of an entry, not with every list.
             assert len([line for line in logged if line["endpoint"] == "strange-1"]) == 1
--- a/wharftiller/tests/platform/test_bounds.py
+++ b/wharftiller/tests/platform/test_bounds.py
@@ -36,11 +36,11 @@
             await trio.sleep(0.1)
             ips = [box.ip for box in world.boxes.values()]
             world.network.cut([STORE_IP], ips)
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             left_at = trio.current_time()
             while trio.current_time() - left_at < bounds.leaving_serves_s + 1.0:
                 before = len(old.started)
-                await caller.ask("READ seat1")
+                await caller.execute("READ seat1")
                 served = len(old.started) > before
                 left_s = bounds.leaving_serves_s - (trio.current_time() - left_at)
                 assert not served or left_s > LEAVING_MARGIN_S / 2
@@ -65,10 +65,10 @@
 
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("READ seat1")
-            box.told.set()
+            caller = await world.open_session(box, "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("READ seat1")
+            box.stop_requested.set()
             with trio.fail_after(bounds.grace_s):
                 await box.ended.wait()
 
--- a/wharftiller/tests/platform/test_connection_admission.py
+++ b/wharftiller/tests/platform/test_connection_admission.py
@@ -18,12 +18,12 @@
     """Open sessions until one is refused; return the open ones."""
     callers: list[Caller] = []
     while True:
-        caller, line = await world.knock(box, "primary")
+        caller, line = await world.request_session(box, "primary")
         if line != "READY I -":
             assert line is not None
             assert line.startswith("ERROR OVERLOAD")
             assert "come back in 50 ms" in line
-            assert await caller.line() is None
+            assert await caller.read_line() is None
             return callers
         callers.append(caller)
 
@@ -46,8 +46,8 @@
                 caller.close()
             await trio.sleep(0.1)
             assert await is_ready(world, box)
-            caller = await world.call(box, "primary")
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+            caller = await world.open_session(box, "primary")
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
 
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
@@ -56,25 +56,25 @@
             box = world.boxes["box-1"]
             callers = await fill(world, box)
             await trio.sleep(MIN_IDLE_S)
-            assert (await callers[0].ask("READ seat1"))[-1].startswith("READY I")
-            newcomer = await world.call(box, "primary")
-            assert (await newcomer.ask("WRITE seat1 anna"))[0] == "ROW written"
-            assert await callers[1].line() is None
-            assert (await callers[0].ask("READ seat1"))[0] == "ROW anna"
+            assert (await callers[0].execute("READ seat1"))[-1].startswith("READY I")
+            newcomer = await world.open_session(box, "primary")
+            assert (await newcomer.execute("WRITE seat1 anna"))[0] == "ROW written"
+            assert await callers[1].read_line() is None
+            assert (await callers[0].execute("READ seat1"))[0] == "ROW anna"
 
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
     def test_a_session_in_a_transaction_is_not_shed(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            booking = await world.call(box, "primary")
-            await booking.ask("BEGIN")
-            await booking.ask("WRITE seat1 anna")
+            booking = await world.open_session(box, "primary")
+            await booking.execute("BEGIN")
+            await booking.execute("WRITE seat1 anna")
             callers = await fill(world, box)
             await trio.sleep(MIN_IDLE_S)
             for _ in callers:
-                await world.call(box, "primary")
-            assert (await booking.ask("COMMIT"))[0].startswith("COMPLETE")
+                await world.open_session(box, "primary")
+            assert (await booking.execute("COMMIT"))[0].startswith("COMPLETE")
 
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
@@ -83,14 +83,14 @@
 
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            served = [await world.call(box, "primary") for _ in range(5)]
+            served = [await world.open_session(box, "primary") for _ in range(5)]
             for _ in range(SMALL_LIMITS.connections):
                 await world.network.host("10.8.0.2").connect(f"{box.ip}:1")
             await trio.sleep(max(MIN_HANDSHAKE_S, MIN_IDLE_S))
             for _ in range(10):
-                await world.call(box, "primary")
+                await world.open_session(box, "primary")
             for caller in served:
-                assert (await caller.ask("READ seat1"))[-1].startswith("READY I")
+                assert (await caller.execute("READ seat1"))[-1].startswith("READY I")
 
         run_in_world(scenario, boxes=1, limits=SMALL_LIMITS)
 
@@ -100,7 +100,7 @@
             callers = await fill(world, box)
             assert callers
             for _ in range(300):
-                _, line = await world.knock(box, "primary")
+                _, line = await world.request_session(box, "primary")
                 assert line is not None
                 assert line.startswith("ERROR OVERLOAD")
             await trio.sleep(1.5)
@@ -117,6 +117,6 @@
     def test_a_box_accepts_hundreds_of_connections_at_any_limit(self, descriptors: int) -> None:
         async def scenario(world: World) -> None:
             for _ in range(250):
-                await world.call(world.boxes["box-1"], "primary")
+                await world.open_session(world.boxes["box-1"], "primary")
 
         run_in_world(scenario, boxes=1, limits=BoxLimits(descriptors, 200))
--- a/wharftiller/tests/platform/test_failovers.py
+++ b/wharftiller/tests/platform/test_failovers.py
@@ -13,7 +13,7 @@
     World,
     make_group,
     run_in_world,
-    write_until_done,
+    write_until_acknowledged,
 )
 
 
@@ -21,13 +21,13 @@
     def test_an_unreachable_primary_is_replaced_within_seconds(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("WRITE seat1 anna")
             await trio.sleep(0.2)
             world.kill_server(group.primary)
-            took_s = await write_until_done(caller, "WRITE seat2 boris", 6.0)
+            took_s = await write_until_acknowledged(caller, "WRITE seat2 boris", 6.0)
             assert took_s < 4.0
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
             assert len({name for name, _, _ in group.promotions}) == 1
 
         run_in_world(scenario)
@@ -58,8 +58,8 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             group.servers[2].replication_suspended = True
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("WRITE seat1 anna")
             await trio.sleep(0.2)
             world.kill_server(group.primary)
             await trio.sleep(5)
@@ -78,16 +78,16 @@
             group.nursery.start_soon(cut_off_primary, world)  # type: ignore[union-attr]
             while not group.promotions:
                 # A new session for each write: an isolated box closes idle sessions.
-                caller = await world.call(silent, "primary")
-                if (await caller.ask("WRITE seat1 x"))[0] == "ROW written":
+                caller = await world.open_session(silent, "primary")
+                if (await caller.execute("WRITE seat1 x"))[0] == "ROW written":
                     acknowledged_at = trio.current_time()
                 caller.close()
                 await trio.sleep(0.05)
             assert trio.current_time() - started > LEASE_S
             assert trio.current_time() > acknowledged_at
             await trio.sleep(2)
-            caller = await world.call(silent, "primary")
-            assert (await caller.ask("WRITE seat1 y"))[0] != "ROW written"
+            caller = await world.open_session(silent, "primary")
+            assert (await caller.execute("WRITE seat1 y"))[0] != "ROW written"
 
         async def cut_off_primary(world: World) -> None:
             world.network.cut(["10.2.0.1"], ["10.1.0.1", "10.1.0.2"])
@@ -104,8 +104,8 @@
             world.network.heal()
             await trio.sleep(3)
             assert group.promotions == []
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
 
         run_in_world(scenario)
 
@@ -117,8 +117,8 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             group.servers[1].replication_suspended = True
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
             boxes = [box.ip for box in world.boxes.values()]
             world.network.cut([group.servers[2].address.partition(":")[0]], boxes)
             world.kill_server(group.primary)
@@ -128,9 +128,9 @@
             world.kill_server(group.servers[0])
             # The new primary needs a synchronous replica too.
             group.servers[1].replication_suspended = False
-            await write_until_done(caller, "WRITE seat2 boris", 8.0)
+            await write_until_acknowledged(caller, "WRITE seat2 boris", 8.0)
             assert {name for name, _, _ in group.promotions} == {"seats-2"}
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
 
         run_in_world(scenario, groups=[make_group(sync_replicas=1)])
 
@@ -138,13 +138,13 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             group.servers[1].replication_suspended = True
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
             group.servers[0].leaving = True
             world.register(group.servers[0])
             await trio.sleep(4.0)
             assert {name for name, _, _ in group.promotions} == {"seats-2"}
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
 
         run_in_world(scenario, groups=[make_group(sync_replicas=1)])
 
@@ -159,13 +159,13 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             old = group.primary
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("WRITE seat0 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("WRITE seat0 anna")
             world.store.remove("servers", old.name)
             gone_at = last_at = trio.current_time()
             longest_s = 0.0
             while trio.current_time() < gone_at + self.DRAIN_S:
-                if (await caller.ask("WRITE seat1 boris"))[0] == "ROW written":
+                if (await caller.execute("WRITE seat1 boris"))[0] == "ROW written":
                     longest_s = max(longest_s, trio.current_time() - last_at)
                     last_at = trio.current_time()
                 await trio.sleep(0.02)
@@ -173,9 +173,9 @@
             assert group.primary is not old
             started = len(old.started)
             for _ in range(20):
-                assert (await caller.ask("WRITE seat1 vera"))[0] == "ROW written"
+                assert (await caller.execute("WRITE seat1 vera"))[0] == "ROW written"
             assert len(old.started) == started
-            assert (await caller.ask("READ seat0"))[0] == "ROW anna"
+            assert (await caller.execute("READ seat0"))[0] == "ROW anna"
 
         run_in_world(scenario)
 
@@ -183,14 +183,14 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             replica = group.servers[1]
-            writer = await world.call(world.boxes["box-2"], "primary")
-            reader = await world.call(world.boxes["box-2"], "bounded_staleness")
-            await writer.ask("READ seat1")
+            writer = await world.open_session(world.boxes["box-2"], "primary")
+            reader = await world.open_session(world.boxes["box-2"], "bounded_staleness")
+            await writer.execute("READ seat1")
             world.store.remove("servers", replica.name)
             await trio.sleep(self.DRAIN_S)
             started = len(replica.started)
             for _ in range(30):
-                assert (await reader.ask("READ seat1"))[0] == "ROW none"
+                assert (await reader.execute("READ seat1"))[0] == "ROW none"
             assert len(replica.started) == started
 
         run_in_world(scenario)
@@ -214,12 +214,12 @@
     def test_a_planned_failover_loses_no_write(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             answers: list[str] = []
             world.groups[0].primary.leaving = True
             world.register(group.primary)
             for number in range(60):
-                answers.append((await caller.ask(f"WRITE seat{number} x"))[0])
+                answers.append((await caller.execute(f"WRITE seat{number} x"))[0])
                 await trio.sleep(0.05)
             done = [n for n, each in enumerate(answers) if each == "ROW written"]
             assert len(done) == len(answers)
@@ -232,13 +232,13 @@
     def test_a_planned_failover_waits_for_an_open_transaction(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(world.boxes["box-2"], "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-2"], "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
             group.primary.leaving = True
             world.register(group.servers[0])
             await trio.sleep(0.5)
-            assert (await caller.ask("COMMIT"))[-1].startswith("READY I ")
+            assert (await caller.execute("COMMIT"))[-1].startswith("READY I ")
             await trio.sleep(2)
             assert group.primary.name != "seats-0"
             assert group.primary.value("seat1") == "anna"
@@ -250,13 +250,13 @@
             group = world.groups[0]
             await trio.sleep(20)
             await world.kill_box(world.boxes["box-3"])
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             group.primary.leaving = True
             world.register(group.primary)
             longest_s = 0.0
             until = trio.current_time() + 8
             while trio.current_time() < until:
-                took_s = await write_until_done(caller, "WRITE seat1 x", 5.0)
+                took_s = await write_until_acknowledged(caller, "WRITE seat1 x", 5.0)
                 longest_s = max(longest_s, took_s)
                 await trio.sleep(0.05)
             assert group.primary.name != "seats-0"
--- a/wharftiller/tests/platform/test_failovers_under_failures.py
+++ b/wharftiller/tests/platform/test_failovers_under_failures.py
@@ -16,10 +16,10 @@
     STORE,
     STORE_IP,
     World,
-    fences_rise,
+    fences_never_decrease,
     make_group,
     run_in_world,
-    write_until_done,
+    write_until_acknowledged,
 )
 
 TOMBSTONED_WITHIN_S = SILENT_S + 3.0
@@ -52,10 +52,10 @@
 class TestPlatformFailing:
     def test_an_outage_of_the_platform_stops_no_write(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             world.store.mode = StoreMode.UNAVAILABLE
             for number in range(100):
-                assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
+                assert (await caller.execute(f"WRITE seat{number} x"))[0] == "ROW written"
                 await trio.sleep(0.1)
 
         run_in_world(scenario)
@@ -63,10 +63,10 @@
     def test_a_box_cut_off_from_platform_and_peers_stops_writing(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
+            caller = await world.open_session(box, "primary")
             world.network.cut([box.ip], ["10.1.0.2", "10.1.0.3", STORE_IP])
             await trio.sleep(LEASE_S + 0.1)
-            answer = await caller.ask("WRITE seat1 anna")
+            answer = await caller.execute("WRITE seat1 anna")
             assert answer[0].startswith("ERROR BUSY ")
             assert world.groups[0].primary.value("seat1") == "none"
 
@@ -77,8 +77,8 @@
             world.store.mode = StoreMode.BUSY
             box = await world.start_box(4)
             await trio.sleep(3)
-            reader = await world.call(box, "bounded_staleness")
-            assert (await reader.ask("READ seat1"))[0].startswith(("ROW", "ERROR BUSY"))
+            reader = await world.open_session(box, "bounded_staleness")
+            assert (await reader.execute("READ seat1"))[0].startswith(("ROW", "ERROR BUSY"))
             assert box.process.proxy is not None
             assert box.process.proxy.state.version == 1
 
@@ -101,11 +101,11 @@
     def test_a_lost_answer_to_an_update_of_the_record_is_resolved(self, lost: int) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             world.kill_server(group.primary)
             world.store.lose_answers = lost
-            await write_until_done(caller, "WRITE seat2 boris", 20.0)
-            assert fences_rise(world)
+            await write_until_acknowledged(caller, "WRITE seat2 boris", 20.0)
+            assert fences_never_decrease(world)
 
         run_in_world(scenario)
 
@@ -154,9 +154,9 @@
                 await trio.sleep(0.5)
                 await world.start_box(number)
             await trio.sleep(1)
-            caller = await world.call(next(iter(world.boxes.values())), "primary")
-            await write_until_done(caller, "WRITE seat2 boris", 20.0)
-            assert fences_rise(world)
+            caller = await world.open_session(next(iter(world.boxes.values())), "primary")
+            await write_until_acknowledged(caller, "WRITE seat2 boris", 20.0)
+            assert fences_never_decrease(world)
 
         run_in_world(scenario)
 
@@ -169,9 +169,9 @@
                 await trio.sleep(0.01)
             holder = world.store.spec("wharftiller", "leadership")["holder"].partition("/")[0]
             await world.kill_box(world.boxes[holder])
-            caller = await world.call(next(iter(world.boxes.values())), "primary")
-            await write_until_done(caller, "WRITE seat2 boris", 30.0)
-            assert fences_rise(world)
+            caller = await world.open_session(next(iter(world.boxes.values())), "primary")
+            await write_until_acknowledged(caller, "WRITE seat2 boris", 30.0)
+            assert fences_never_decrease(world)
 
         run_in_world(scenario)
 
@@ -182,18 +182,20 @@
             await trio.sleep(LISTING_S + LEASE_S)
             await world.kill_box(world.boxes["box-3"])
             await trio.sleep(TOMBSTONED_WITHIN_S + LEASE_S)
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             old = group.primary
             if planned:
                 old.leaving = True
                 world.register(old)
                 gap_s = 0.0
                 while group.primary is old:
-                    gap_s = max(gap_s, await write_until_done(caller, "WRITE seat2 x", 20.0))
+                    gap_s = max(
+                        gap_s, await write_until_acknowledged(caller, "WRITE seat2 x", 20.0)
+                    )
                 assert gap_s < MAX_PLANNED_GAP_S
                 return
             world.kill_server(old)
-            assert await write_until_done(caller, "WRITE seat2 boris", 20.0) < LEASE_S - 1
+            assert await write_until_acknowledged(caller, "WRITE seat2 boris", 20.0) < LEASE_S - 1
 
         run_in_world(scenario)
 
@@ -233,18 +235,18 @@
     def test_a_primary_cut_off_from_some_boxes_is_reached_by_relay(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             world.network.cut(["10.2.0.1"], ["10.1.0.1", "10.1.0.2"])
-            took_s = await write_until_done(caller, "WRITE first anna", 6.0)
+            took_s = await write_until_acknowledged(caller, "WRITE first anna", 6.0)
             assert took_s < 4.0
             assert group.promotions == []
             for number in range(20):
-                assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
+                assert (await caller.execute(f"WRITE seat{number} x"))[0] == "ROW written"
             world.network.heal()
             await trio.sleep(3)
             relays = [line["via"] for line in world.boxes["box-1"].events("way_changed")]
             assert relays[-1] is None
-            assert (await caller.ask("READ seat1"))[0] == "ROW x"
+            assert (await caller.execute("READ seat1"))[0] == "ROW x"
 
         run_in_world(scenario)
 
--- a/wharftiller/tests/platform/test_gateways.py
+++ b/wharftiller/tests/platform/test_gateways.py
@@ -51,13 +51,13 @@
     def test_every_box_serves_within_the_endpoints_limit(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            callers = [await world.call(box, "primary") for box in world.boxes.values()]
+            callers = [await world.open_session(box, "primary") for box in world.boxes.values()]
 
             async def work(caller: Caller, number: int) -> None:
                 for step in range(5):
-                    answer = await caller.ask(f"WRITE seat{number} guest{step}")
+                    answer = await caller.execute(f"WRITE seat{number} guest{step}")
                     assert answer[0] == "ROW written", answer
-                    assert (await caller.ask(f"READ seat{number}"))[0] == f"ROW guest{step}"
+                    assert (await caller.execute(f"READ seat{number}"))[0] == f"ROW guest{step}"
 
             async with trio.open_nursery() as nursery:
                 for number, caller in enumerate(callers):
@@ -69,40 +69,43 @@
 
     def test_a_forwarded_reply_is_the_endpoints_own(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(others_in(world, "a")[0], "read_own_writes")
-            written = await caller.ask("WRITE seat7 anna", "id-1")
+            caller = await world.open_session(others_in(world, "a")[0], "read_own_writes")
+            written = await caller.execute("WRITE seat7 anna", "id-1")
             primary = world.groups[0].primary
             assert written[1] == f"COMPLETE {proof(primary, 'id-1', 'WRITE seat7 anna')}"
-            assert (await caller.ask("READ seat7"))[0] == "ROW anna"
+            assert (await caller.execute("READ seat7"))[0] == "ROW anna"
 
         run_with_few_connections(scenario, lag_s=0.3)
 
     def test_values_and_prepared_names_are_forwarded_with_the_statement(self) -> None:
         async def scenario(world: World) -> None:
             box, other = others_in(world, "a")
-            one, two = await world.call(box, "primary"), await world.call(other, "primary")
-            await one.ask("SET colour red")
-            await one.ask("PREPARE s READ shape")
-            await two.ask("PREPARE s WRITE shape")
+            one, two = (
+                await world.open_session(box, "primary"),
+                await world.open_session(other, "primary"),
+            )
+            await one.execute("SET colour red")
+            await one.execute("PREPARE s READ shape")
+            await two.execute("PREPARE s WRITE shape")
             for number in range(4):
-                assert (await one.ask("EXECUTE s seat1"))[0].endswith("colour=red")
-                assert (await two.ask(f"EXECUTE s seat{number} x"))[0] == "ROW written"
-                assert "colour" not in (await two.ask("READ seat1"))[0]
+                assert (await one.execute("EXECUTE s seat1"))[0].endswith("colour=red")
+                assert (await two.execute(f"EXECUTE s seat{number} x"))[0] == "ROW written"
+                assert "colour" not in (await two.execute("READ seat1"))[0]
 
         run_with_few_connections(scenario)
 
     def test_a_transaction_runs_whole_on_one_connection(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(others_in(world, "b")[0], "primary")
-            await caller.ask("BEGIN")
-            assert (await caller.ask("WRITE seat1 anna"))[-1].startswith("READY T")
-            await caller.ask("WRITE seat2 boris")
-            assert (await caller.ask("COMMIT"))[-1].startswith("READY I")
+            caller = await world.open_session(others_in(world, "b")[0], "primary")
+            await caller.execute("BEGIN")
+            assert (await caller.execute("WRITE seat1 anna"))[-1].startswith("READY T")
+            await caller.execute("WRITE seat2 boris")
+            assert (await caller.execute("COMMIT"))[-1].startswith("READY I")
             assert len(world.groups[0].primary.log) == 1
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 vera")
-            assert (await caller.ask("ROLLBACK"))[-1].startswith("READY I")
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 vera")
+            assert (await caller.execute("ROLLBACK"))[-1].startswith("READY I")
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
 
         run_with_few_connections(scenario)
 
@@ -111,9 +114,9 @@
         async def scenario(world: World) -> None:
             box = others_in(world, "b")[0]
             gateway = gateway_of(world, "b")
-            caller = await world.call(box, "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(box, "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
             executor = gateway.process.proxy._for_others  # type: ignore[union-attr]
             assert executor.count == 1
             if leaves == "by closing":
@@ -130,25 +133,25 @@
     def test_when_a_gateway_is_killed_another_serves(self) -> None:
         async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
-            caller = await world.call(box, "primary")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(box, "primary")
+            await caller.execute("WRITE seat1 anna")
             await world.kill_box(gateway_of(world, "a"))
             with trio.fail_after(2):
-                while (await caller.ask("WRITE seat1 boris"))[0] != "ROW written":
+                while (await caller.execute("WRITE seat1 boris"))[0] != "ROW written":
                     await trio.sleep(0.05)
-            assert (await caller.ask("READ seat1"))[0] == "ROW boris"
+            assert (await caller.execute("READ seat1"))[0] == "ROW boris"
 
         run_with_few_connections(scenario)
 
     def test_a_box_runs_statements_itself_when_all_gateways_near_it_are_lost(self) -> None:
         async def scenario(world: World) -> None:
             box, other = others_in(world, "a")
-            caller = await world.call(box, "primary")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(box, "primary")
+            await caller.execute("WRITE seat1 anna")
             await world.kill_box(gateway_of(world, "a"))
             await world.kill_box(other)
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
-            assert (await caller.ask("WRITE seat1 boris"))[0] == "ROW written"
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
+            assert (await caller.execute("WRITE seat1 boris"))[0] == "ROW written"
 
         run_with_few_connections(scenario)
 
@@ -156,41 +159,41 @@
         async def scenario(world: World) -> None:
             world.groups[0].work_s = 0.3
             box = others_in(world, "a")[0]
-            caller = await world.call(box, "primary")
+            caller = await world.open_session(box, "primary")
             await caller.send(b"QUERY id-1 WRITE seat1 anna\r\n")
             await trio.sleep(0.1)
             gateway = gateway_of(world, "a")
             world.network.cut([gateway.ip], [each.ip for each in world.boxes.values()])
             started = trio.current_time()
-            assert (await caller.line() or "").startswith("ERROR INDOUBT ")
+            assert (await caller.read_line() or "").startswith("ERROR INDOUBT ")
             assert trio.current_time() - started < 0.8
-            assert (await caller.line() or "").startswith("READY I ")
+            assert (await caller.read_line() or "").startswith("READY I ")
             # The write may have been committed, so later reads go to the primary.
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
 
         run_with_few_connections(scenario)
 
     def test_a_read_goes_to_another_gateway_when_its_gateway_is_unreachable(self) -> None:
         async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
-            caller = await world.call(box, "bounded_staleness")
-            await caller.ask("READ seat1")
+            caller = await world.open_session(box, "bounded_staleness")
+            await caller.execute("READ seat1")
             gateway = gateway_of(world, "a")
             world.network.cut([gateway.ip], [each.ip for each in world.boxes.values()])
-            assert (await caller.ask("READ seat1"))[0] == "ROW none"
+            assert (await caller.execute("READ seat1"))[0] == "ROW none"
 
         run_with_few_connections(scenario)
 
     def test_a_planned_stop_of_a_gateway_refuses_no_statement(self) -> None:
         async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
-            callers = [await world.call(box, "primary") for _ in range(4)]
+            callers = [await world.open_session(box, "primary") for _ in range(4)]
             gateway = gateway_of(world, "a")
             refused: list[list[str]] = []
 
             async def work(caller: Caller, number: int) -> None:
                 while not gateway.ended.is_set():
-                    answer = await caller.ask(f"WRITE seat{number} x")
+                    answer = await caller.execute(f"WRITE seat{number} x")
                     if answer[0] != "ROW written":
                         refused.append(answer)
                     await trio.sleep(0.01)
@@ -199,7 +202,7 @@
                 for number, caller in enumerate(callers):
                     nursery.start_soon(work, caller, number)
                 await trio.sleep(0.3)
-                gateway.told.set()
+                gateway.stop_requested.set()
             assert refused == []
 
         run_with_few_connections(scenario)
@@ -207,13 +210,13 @@
     def test_a_dead_primary_is_replaced_by_its_gateways(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(others_in(world, "c")[0], "primary")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(others_in(world, "c")[0], "primary")
+            await caller.execute("WRITE seat1 anna")
             await trio.sleep(0.2)
             world.kill_server(group.primary)
             with trio.fail_after(4):
-                while (await caller.ask("WRITE seat2 boris"))[0] != "ROW written":
+                while (await caller.execute("WRITE seat2 boris"))[0] != "ROW written":
                     await trio.sleep(0.1)
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
 
         run_with_few_connections(scenario)
--- a/wharftiller/tests/platform/test_isolation.py
+++ b/wharftiller/tests/platform/test_isolation.py
@@ -96,31 +96,31 @@
 
     def test_an_isolated_box_goes_on_serving_what_it_can(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-3"], "bounded_staleness")
-            writer = await world.call(world.boxes["box-3"], "primary")
-            await writer.ask("READ seat1")
+            caller = await world.open_session(world.boxes["box-3"], "bounded_staleness")
+            writer = await world.open_session(world.boxes["box-3"], "primary")
+            await writer.execute("READ seat1")
             cut_off_data_centre(world, 2)
             await writer.send(b"QUERY id-1 READ seat1\r\n")
             await trio.sleep(1.1)
             assert "box-3" not in ready_boxes(world)
-            assert (await caller.ask("READ seat1"))[0] == "ROW none"
+            assert (await caller.execute("READ seat1"))[0] == "ROW none"
 
         run_in_world(scenario)
 
     def test_idle_sessions_that_cannot_be_served_are_closed(self) -> None:
         async def scenario(world: World) -> None:
             groups = world.groups
-            here = await world.call(world.boxes["box-3"], "primary", groups[0].name)
+            here = await world.open_session(world.boxes["box-3"], "primary", groups[0].name)
             others = [
-                await world.call(world.boxes["box-3"], "primary", group.name)
+                await world.open_session(world.boxes["box-3"], "primary", group.name)
                 for group in groups[1:]
             ]
             for caller in (here, *others):
-                await caller.ask("READ seat1")
+                await caller.execute("READ seat1")
             cut_off_data_centre(world, 2)
             await trio.sleep(DETECTION_S + BALANCER_SEES_S + 0.2)
-            assert [await caller.line() for caller in others] == [None, None]
-            assert (await here.ask("READ seat1"))[0] == "ROW none"
+            assert [await caller.read_line() for caller in others] == [None, None]
+            assert (await here.execute("READ seat1"))[0] == "ROW none"
 
         led_here = make_group("seats", 2)
         led_here.servers[0].leads, led_here.servers[2].leads = False, True
@@ -132,9 +132,9 @@
         async def scenario(world: World) -> None:
             cut_off_data_centre(world, 2)
             await trio.sleep(DETECTION_S + BALANCER_SEES_S + 0.2)
-            caller = await world.call(world.boxes["box-3"], "bounded_staleness", "tours")
+            caller = await world.open_session(world.boxes["box-3"], "bounded_staleness", "tours")
             await trio.sleep(1.0)
-            assert (await caller.ask("READ seat1"))[-1].startswith("READY I")
+            assert (await caller.execute("READ seat1"))[-1].startswith("READY I")
 
         run_in_world(scenario, groups=[make_group("seats", 2), make_group("tours", 3)])
 
--- a/wharftiller/tests/platform/test_load_peaks.py
+++ b/wharftiller/tests/platform/test_load_peaks.py
@@ -60,10 +60,10 @@
                 await trio.sleep(self.rng.expovariate(load * SLOTS / WORK_S))
 
     async def _run_caller(self, kind: str, box: BoxProcess) -> None:
-        caller = await self.world.call(box, kind)
+        caller = await self.world.open_session(box, kind)
         started_at = trio.current_time()
         for _ in range(MAX_TRIES):
-            answer = (await caller.ask("READ seat1"))[0]
+            answer = (await caller.execute("READ seat1"))[0]
             took_s = trio.current_time() - started_at
             if answer.startswith("ROW"):
                 self.outcomes[kind]["in goal" if took_s <= GOAL_S else "late"] += 1
@@ -84,8 +84,8 @@
         world.configure(2, Routes=routes)
         for server in world.groups[0].servers[1:]:
             server.replication_suspended = True
-        writer = await world.call(world.boxes["box-1"], URGENT)
-        await writer.ask("WRITE seat1 anna")
+        writer = await world.open_session(world.boxes["box-1"], URGENT)
+        await writer.execute("WRITE seat1 anna")
         await trio.sleep(SHARED_READ_S + 3.0)
         peak = LoadPeak(world)
         async with trio.open_nursery() as nursery:
--- a/wharftiller/tests/platform/test_metrics.py
+++ b/wharftiller/tests/platform/test_metrics.py
@@ -27,8 +27,8 @@
     def test_answers_and_primaries_are_exported_during_a_failover(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("WRITE seat1 anna")
             before = await read_metrics(world, "box-1")
             leading = (("endpoint", "seats-0"), ("group", "seats"), ("state", "leading"))
             assert before["wharftiller_primary", leading] == 1
--- a/wharftiller/tests/platform/test_outages.py
+++ b/wharftiller/tests/platform/test_outages.py
@@ -16,7 +16,7 @@
     World,
     make_group,
     run_in_world,
-    write_until_done,
+    write_until_acknowledged,
 )
 
 BOXES = 24
@@ -53,14 +53,14 @@
 
         async def scenario(world: World) -> None:
             await trio.sleep(5)
-            callers = [await world.call(box, "primary") for box in world.boxes.values()]
+            callers = [await world.open_session(box, "primary") for box in world.boxes.values()]
             monkeypatch.setattr(BoxDirectory, "post", counting)
             world.store.mode = StoreMode.UNAVAILABLE
             calls = world.store.calls
             until = trio.current_time() + OUTAGE_S
             while trio.current_time() < until:
                 for caller in callers:
-                    assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
+                    assert (await caller.execute("WRITE seat1 x"))[0] == "ROW written"
             assert world.store.calls - calls < MAX_CALLS
             assert requests.total() / BOXES / OUTAGE_S < MAX_REQUESTS_PER_S
 
@@ -75,11 +75,11 @@
                 for box in world.boxes.values()
                 if box is not gateway and box.process.proxy.state.data_centre == "a"  # type: ignore[union-attr]
             )
-            caller = await world.call(other, "primary")
+            caller = await world.open_session(other, "primary")
             world.store.mode = StoreMode.UNAVAILABLE
             await trio.sleep(OUTAGE_S)
             await world.kill_box(gateway)
-            assert await write_until_done(caller, "WRITE seat1 x", AVOIDED_S) < 1.0
+            assert await write_until_acknowledged(caller, "WRITE seat1 x", AVOIDED_S) < 1.0
 
         run_in_world(scenario, boxes=BOXES, groups=[make_group(max_connections=SCARCE)])
 
@@ -99,12 +99,14 @@
             await world.kill_box(gateway)
             gateway = await world.start_box(int(gateway.name.removeprefix("box-")))
             await trio.sleep(AVOIDED_S + 1.0)
-            caller = await world.call(gateway if caller_at == "the gateway" else other, "primary")
+            caller = await world.open_session(
+                gateway if caller_at == "the gateway" else other, "primary"
+            )
             started = trio.current_time()
             for number in range(10):
-                assert (await caller.ask(f"WRITE seat{number} x"))[0] == "ROW written"
+                assert (await caller.execute(f"WRITE seat{number} x"))[0] == "ROW written"
                 for text in ("BEGIN", f"WRITE seat{number} y", "COMMIT"):
-                    answer = await caller.ask(text)
+                    answer = await caller.execute(text)
                     assert answer[-1].startswith("READY"), answer
                     assert not answer[0].startswith("ERROR"), answer
             assert trio.current_time() - started < 2.0
--- a/wharftiller/tests/platform/test_readers.py
+++ b/wharftiller/tests/platform/test_readers.py
@@ -15,7 +15,7 @@
 from wharftiller.edges.http_server import HttpRequest, HttpResponse
 from wharftiller.platform.objects import CONFIGURATION_KIND, ENDPOINT_KIND
 from wharftiller.platform.store import ObjectStore
-from wharftiller.tests.platform.world import STORE_IP, World, run_in_world, write_until_done
+from wharftiller.tests.platform.world import STORE_IP, World, run_in_world, write_until_acknowledged
 
 BOXES = 9
 
@@ -47,8 +47,8 @@
             await trio.sleep(20)
             assert world.store.calls - before < 20 * 3 * 2
             for box in world.boxes.values():
-                caller = await world.call(box, "primary")
-                assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
+                caller = await world.open_session(box, "primary")
+                assert (await caller.execute("WRITE seat1 x"))[0] == "ROW written"
 
         run_in_world(scenario, boxes=BOXES)
 
@@ -70,13 +70,13 @@
 
     def test_an_outage_of_the_platform_stops_no_write(self) -> None:
         async def scenario(world: World) -> None:
-            callers = [await world.call(box, "primary") for box in world.boxes.values()]
+            callers = [await world.open_session(box, "primary") for box in world.boxes.values()]
             world.store.mode = StoreMode.UNAVAILABLE
             # Boxes renew leases through each other while their list is younger than 12 s.
             until = trio.current_time() + 10
             while trio.current_time() < until:
                 for caller in callers:
-                    assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
+                    assert (await caller.execute("WRITE seat1 x"))[0] == "ROW written"
                 await trio.sleep(0.02)
 
         run_in_world(scenario, boxes=BOXES)
@@ -86,8 +86,8 @@
             await world.kill_box(world.boxes[reader_names(world)[0]])
             await trio.sleep(8)
             for box in world.boxes.values():
-                caller = await world.call(box, "primary")
-                assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
+                caller = await world.open_session(box, "primary")
+                assert (await caller.execute("WRITE seat1 x"))[0] == "ROW written"
 
         run_in_world(scenario, boxes=BOXES)
 
@@ -171,7 +171,7 @@
             await trio.sleep(5)
             monkeypatch.setattr(ObjectStore, "list_all", recording)
             document = world.store.spec("config", "main")
-            world.boxes["box-9"].told.set()
+            world.boxes["box-9"].stop_requested.set()
             for version in range(2, 22):
                 world.store.set("config", "main", {**document, "Version": version})
                 await trio.sleep(0.08)
@@ -193,10 +193,10 @@
     def test_an_unreachable_primary_is_replaced_within_seconds(self) -> None:
         async def scenario(world: World) -> None:
             group = world.groups[0]
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("WRITE seat1 anna")
             world.kill_server(group.primary)
-            assert await write_until_done(caller, "WRITE seat2 boris", 8.0) < 5.0
+            assert await write_until_acknowledged(caller, "WRITE seat2 boris", 8.0) < 5.0
             assert len(group.promotions) == 1
 
         run_in_world(scenario, boxes=BOXES)
@@ -204,10 +204,10 @@
     def test_a_box_cut_off_from_all_stops_writing(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
+            caller = await world.open_session(box, "primary")
             others = [each.ip for each in world.boxes.values() if each is not box]
             world.network.cut([box.ip], [*others, STORE_IP])
             await trio.sleep(7)
-            assert (await caller.ask("WRITE seat1 x"))[0].startswith("ERROR BUSY ")
+            assert (await caller.execute("WRITE seat1 x"))[0].startswith("ERROR BUSY ")
 
         run_in_world(scenario, boxes=BOXES)
--- a/wharftiller/tests/platform/test_restored_platform.py
+++ b/wharftiller/tests/platform/test_restored_platform.py
@@ -22,9 +22,9 @@
     STORE,
     BoxProcess,
     World,
-    fences_rise,
+    fences_never_decrease,
     run_in_world,
-    write_until_done,
+    write_until_acknowledged,
 )
 
 OUTAGE_S = 1.0
@@ -52,8 +52,8 @@
     old = world.groups[0].primary
     boxes = [box.ip for box in world.boxes.values()]
     world.network.cut([old.address.partition(":")[0]], boxes)
-    caller = await world.call(world.boxes["box-2"], "primary")
-    await write_until_done(caller, "WRITE seat1 anna", 12.0)
+    caller = await world.open_session(world.boxes["box-2"], "primary")
+    await write_until_acknowledged(caller, "WRITE seat1 anna", 12.0)
     world.network.heal()
 
 
@@ -118,8 +118,8 @@
             copy = world.store.copy()
             old = group.primary
             world.kill_server(old)
-            caller = await world.call(world.boxes["box-2"], "primary")
-            await write_until_done(caller, "WRITE seat1 anna", 12.0)
+            caller = await world.open_session(world.boxes["box-2"], "primary")
+            await write_until_acknowledged(caller, "WRITE seat1 anna", 12.0)
             new = group.primary
             assert new is not old
             await restore(world, copy)
@@ -128,7 +128,7 @@
                 new.name
             )
             assert any(box.events("record_written_back") for box in world.boxes.values())
-            await write_until_done(caller, "WRITE seat2 bert", 2.0)
+            await write_until_acknowledged(caller, "WRITE seat2 bert", 2.0)
             assert group.primary is new
 
         run_in_world(scenario)
@@ -144,12 +144,12 @@
             await restart_all_boxes(world, copy)
             assert old.leads
             started_before = len(old.started)
-            caller = await world.call(world.boxes["box-2"], "primary")
-            await write_until_done(caller, "WRITE seat2 bert", 20.0)
-            assert (await caller.ask("READ seat1"))[0].startswith("ROW anna")
+            caller = await world.open_session(world.boxes["box-2"], "primary")
+            await write_until_acknowledged(caller, "WRITE seat2 bert", 20.0)
+            assert (await caller.execute("READ seat1"))[0].startswith("ROW anna")
             assert group.primary is not old
             assert old.started[started_before:] == []
-            assert fences_rise(world)
+            assert fences_never_decrease(world)
             assert len({(holder, fence) for _, holder, fence in group.promotions}) == 2
 
         run_in_world(scenario)
@@ -166,8 +166,8 @@
             await restart_all_boxes(world, copy)
             world.kill_server(new)
             promotions_before = len(group.promotions)
-            caller = await world.call(world.boxes["box-2"], "primary")
-            await write_until_done(caller, "WRITE seat2 bert", 30.0)
+            caller = await world.open_session(world.boxes["box-2"], "primary")
+            await write_until_acknowledged(caller, "WRITE seat2 bert", 30.0)
             assert len(group.promotions) > promotions_before
             assert group.primary.value("seat2") == "bert"
             assert group.primary.term > new.term
@@ -179,9 +179,9 @@
             copy = world.store.copy()
             await replace_cut_off_primary(world)
             await restart_all_boxes(world, copy)
-            caller = await world.call(world.boxes["box-2"], "primary")
+            caller = await world.open_session(world.boxes["box-2"], "primary")
             sent_at = trio.current_time()
-            refusal = (await caller.ask("WRITE seat2 bert"))[0]
+            refusal = (await caller.execute("WRITE seat2 bert"))[0]
             assert trio.current_time() - sent_at < MAX_REFUSAL_S
             assert refusal.startswith("ERROR BUSY")
 
@@ -262,9 +262,11 @@
             late = {"planned": False, "ordered": True, **failing_over}
             update = {**before, "updates": before["updates"] + 1, "groups": {"seats": late}}
             world.store.set(OWN_KIND, RECORD_NAME, update)
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             for number in range(80):
-                assert (await caller.ask(f"WRITE seat{number} anna"))[0] == "ROW written", number
+                assert (await caller.execute(f"WRITE seat{number} anna"))[0] == "ROW written", (
+                    number
+                )
                 await trio.sleep(0.1)
             assert (
                 world.store.spec(OWN_KIND, RECORD_NAME)["groups"]["seats"]["endpoint"] == new.name
@@ -281,24 +283,26 @@
             group = world.groups[0]
             copy = world.store.copy()
             world.kill_server(group.primary)
-            caller = await world.call(world.boxes["box-2"], "primary")
-            await write_until_done(caller, "WRITE seat1 anna", 12.0)
+            caller = await world.open_session(world.boxes["box-2"], "primary")
+            await write_until_acknowledged(caller, "WRITE seat1 anna", 12.0)
             await restore(world, copy)
             await trio.sleep(5.0)
             world.kill_server(group.primary)
-            await write_until_done(caller, "WRITE seat2 bert", 30.0)
+            await write_until_acknowledged(caller, "WRITE seat2 bert", 30.0)
             fences = [fence for _, _, fence in group.promotions]
-            assert fences_rise(world)
+            assert fences_never_decrease(world)
             assert len(set(fences)) >= 2
 
         run_in_world(scenario)
 
     def test_callers_are_served_without_interruption(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             await restore_without_recent_writes(world)
             for number in range(80):
-                assert (await caller.ask(f"WRITE seat{number} anna"))[0] == "ROW written", number
+                assert (await caller.execute(f"WRITE seat{number} anna"))[0] == "ROW written", (
+                    number
+                )
                 await trio.sleep(0.1)
 
         run_in_world(scenario)
--- a/wharftiller/tests/platform/test_starts.py
+++ b/wharftiller/tests/platform/test_starts.py
@@ -10,7 +10,7 @@
 from wharftiller.core.sessions.bounds import PlatformBounds
 from wharftiller.daemons.sessions.membership import readers
 from wharftiller.daemons.sessions.membership.boxes import BoxDirectory
-from wharftiller.tests.platform.world import STORE_IP, World, run_in_world, write_until_done
+from wharftiller.tests.platform.world import STORE_IP, World, run_in_world, write_until_acknowledged
 
 BOXES = 24
 
@@ -67,8 +67,8 @@
             box = await world.start_box(NO_READER)
             await trio.sleep(5)
             assert world.store.calls - before - idle_calls <= MAX_CALLS
-            caller = await world.call(box, "primary")
-            assert (await caller.ask("WRITE seat1 x"))[0] == "ROW written"
+            caller = await world.open_session(box, "primary")
+            assert (await caller.execute("WRITE seat1 x"))[0] == "ROW written"
 
         run_in_world(scenario, boxes=9, bounds=PlatformBounds(configuration_in_force_s=6.0))
 
@@ -110,7 +110,7 @@
             await trio.sleep(1)
             for number in range(1, boxes + 1):
                 await world.start_box(number, "abc"[(number - 1) % 3])
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert await write_until_done(caller, "WRITE seat1 x", 3.0) < 1.0
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert await write_until_acknowledged(caller, "WRITE seat1 x", 3.0) < 1.0
 
         run_in_world(scenario, boxes=boxes)
--- a/wharftiller/tests/platform/test_stops.py
+++ b/wharftiller/tests/platform/test_stops.py
@@ -12,7 +12,7 @@
 
 async def stop(world: World, box: BoxProcess) -> None:
     """Stop a box gracefully and wait until its process has ended."""
-    box.told.set()
+    box.stop_requested.set()
     with trio.fail_after(GRACE_S):
         await box.ended.wait()
     world.network.kill(box.ip)
@@ -22,15 +22,15 @@
     def test_a_stopping_box_is_unready_at_once_and_serves_until_the_balancer_reacts(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
+            caller = await world.open_session(box, "primary")
             stop_requested_at = trio.current_time()
-            box.told.set()
+            box.stop_requested.set()
             await trio.sleep(0.01)
             assert not box.process.proxy.is_ready  # type: ignore[union-attr]
             while trio.current_time() < stop_requested_at + BALANCER_SEES_S - 0.1:
-                assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+                assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
                 await trio.sleep(0.05)
-            assert await caller.line() is None
+            assert await caller.read_line() is None
             assert trio.current_time() - stop_requested_at < BALANCER_SEES_S + 0.2
 
         run_in_world(scenario)
@@ -38,13 +38,13 @@
     def test_an_open_transaction_may_end_in_the_first_half_of_the_grace_period(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
-            box.told.set()
+            caller = await world.open_session(box, "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
+            box.stop_requested.set()
             await trio.sleep(GRACE_S / 2 - 0.2)
-            assert (await caller.ask("COMMIT"))[0].startswith("COMPLETE ")
-            assert await caller.line() is None
+            assert (await caller.execute("COMMIT"))[0].startswith("COMPLETE ")
+            assert await caller.read_line() is None
             assert [record.writes for record in world.groups[0].primary.log]
 
         run_in_world(scenario)
@@ -53,11 +53,11 @@
         async def scenario(world: World) -> None:
             world.groups[0].work_s = 0.7
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
-            box.told.set()
+            caller = await world.open_session(box, "primary")
+            box.stop_requested.set()
             await trio.sleep(BALANCER_SEES_S - 0.1)
-            assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
-            assert await caller.line() is None
+            assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
+            assert await caller.read_line() is None
 
         run_in_world(scenario)
 
@@ -74,7 +74,7 @@
                         for box in world.boxes.values()
                         if box.process.proxy is not None and box.process.proxy.is_ready
                     ]
-                    caller = await world.call(ready[number % len(ready)], "primary")
+                    caller = await world.open_session(ready[number % len(ready)], "primary")
                     step = await write_until_closed(caller, number, step)
 
             async def write_until_closed(caller: Caller, number: int, step: int) -> int:
@@ -82,7 +82,7 @@
                     step += 1
                     sent_at = trio.current_time()
                     try:
-                        answer = await caller.ask(f"WRITE seat{number} guest{step}")
+                        answer = await caller.execute(f"WRITE seat{number} guest{step}")
                     except trio.BrokenResourceError:
                         # The session was closed while idle: nothing was sent.
                         return step
@@ -113,10 +113,10 @@
     def test_unusable_settings_do_not_end_the_process(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
+            caller = await world.open_session(box, "primary")
             for _ in range(3):
                 box.process._reload()
-                assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+                assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
             assert len(box.events("settings_unusable")) == 3
 
         run_in_world(scenario)
--- a/wharftiller/tests/platform/test_whole_path.py
+++ b/wharftiller/tests/platform/test_whole_path.py
@@ -16,11 +16,11 @@
 class TestSessions:
     def test_a_write_is_read_back_with_the_servers_own_proof(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-2"], "read_own_writes")
-            written = await caller.ask("WRITE seat7 anna", "id-1")
+            caller = await world.open_session(world.boxes["box-2"], "read_own_writes")
+            written = await caller.execute("WRITE seat7 anna", "id-1")
             primary = world.groups[0].primary
             assert written[1] == f"COMPLETE {proof(primary, 'id-1', 'WRITE seat7 anna')}"
-            read = await caller.ask("READ seat7", "id-2")
+            read = await caller.execute("READ seat7", "id-2")
             assert read[0] == "ROW anna"
             assert read[1].startswith("COMPLETE ") and ".id-2." in read[1]
 
@@ -39,25 +39,25 @@
         async def scenario(world: World) -> None:
             world.groups[0].max_connections = 5
             box = world.boxes["box-1"]
-            one = await world.call(box, "primary")
-            other = await world.call(box, "primary")
-            await one.ask("SET colour red")
-            await one.ask("PREPARE s READ shape")
-            await other.ask("PREPARE s WRITE shape")
+            one = await world.open_session(box, "primary")
+            other = await world.open_session(box, "primary")
+            await one.execute("SET colour red")
+            await one.execute("PREPARE s READ shape")
+            await other.execute("PREPARE s WRITE shape")
             for number in range(4):
-                assert (await one.ask("EXECUTE s seat1"))[0].endswith("colour=red")
-                assert (await other.ask(f"EXECUTE s seat{number} x"))[0] == "ROW written"
-                assert "colour" not in (await other.ask("READ seat1"))[0]
-            await one.ask("SET colour blue")
-            assert (await one.ask("EXECUTE s seat1"))[0].endswith("colour=blue")
+                assert (await one.execute("EXECUTE s seat1"))[0].endswith("colour=red")
+                assert (await other.execute(f"EXECUTE s seat{number} x"))[0] == "ROW written"
+                assert "colour" not in (await other.execute("READ seat1"))[0]
+            await one.execute("SET colour blue")
+            assert (await one.execute("EXECUTE s seat1"))[0].endswith("colour=blue")
 
         run_in_world(scenario)
 
     def test_an_unknown_prepared_name_is_refused_without_running(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("EXECUTE none seat1"))[0].startswith("ERROR NOSTMT ")
-            assert (await caller.ask("READ seat1"))[0] == "ROW none"
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("EXECUTE none seat1"))[0].startswith("ERROR NOSTMT ")
+            assert (await caller.execute("READ seat1"))[0] == "ROW none"
 
         run_in_world(scenario)
 
@@ -65,62 +65,62 @@
 class TestTransactions:
     def test_commit_keeps_and_rollback_drops(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("BEGIN"))[-1] == "READY T -"
-            await caller.ask("WRITE seat1 anna")
-            done = await caller.ask("COMMIT", "commit-1")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("BEGIN"))[-1] == "READY T -"
+            await caller.execute("WRITE seat1 anna")
+            done = await caller.execute("COMMIT", "commit-1")
             assert ".commit-1." in done[0] and done[-1].startswith("READY I ")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 boris")
-            assert (await caller.ask("ROLLBACK"))[-1] == "READY I -"
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 boris")
+            assert (await caller.execute("ROLLBACK"))[-1] == "READY I -"
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
 
         run_in_world(scenario)
 
     def test_a_transaction_whose_server_closes_is_aborted_and_can_be_ended(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
             world.network.break_streams("10.2.0.1")
             await trio.sleep(0.1)
-            failed = await caller.ask("WRITE seat2 anna")
+            failed = await caller.execute("WRITE seat2 anna")
             assert failed[0].startswith("ERROR ABORTED ") and failed[-1] == "READY E -"
-            assert (await caller.ask("READ seat1"))[0].startswith("ERROR MALFORMED ")
-            assert (await caller.ask("COMMIT"))[0].startswith("ERROR ABORTED ")
-            assert (await caller.ask("READ seat1"))[0] == "ROW none"
+            assert (await caller.execute("READ seat1"))[0].startswith("ERROR MALFORMED ")
+            assert (await caller.execute("COMMIT"))[0].startswith("ERROR ABORTED ")
+            assert (await caller.execute("READ seat1"))[0] == "ROW none"
 
         run_in_world(scenario)
 
     def test_a_lost_answer_to_commit_is_in_doubt(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
             world.groups[0].primary.lose_answers = 1
-            assert (await caller.ask("COMMIT"))[0].startswith("ERROR INDOUBT ")
+            assert (await caller.execute("COMMIT"))[0].startswith("ERROR INDOUBT ")
 
         run_in_world(scenario)
 
     def test_a_closed_session_rolls_back(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
             caller.close()
             await trio.sleep(0.2)
-            other = await world.call(world.boxes["box-1"], "primary")
-            assert (await other.ask("READ seat1"))[0] == "ROW none"
+            other = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await other.execute("READ seat1"))[0] == "ROW none"
 
         run_in_world(scenario)
 
     def test_an_idle_transaction_is_ended(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
             await trio.sleep(3.5)
-            assert (await caller.ask("COMMIT"))[0].startswith("ERROR ABORTED ")
+            assert (await caller.execute("COMMIT"))[0].startswith("ERROR ABORTED ")
 
         run_in_world(scenario)
 
@@ -131,17 +131,17 @@
 
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            idle = [await world.call(box, "primary") for _ in range(2)]
+            idle = [await world.open_session(box, "primary") for _ in range(2)]
             for caller in idle:
-                await caller.ask("BEGIN")
-                await caller.ask("WRITE seat1 anna")
+                await caller.execute("BEGIN")
+                await caller.execute("WRITE seat1 anna")
             pool = box.process.proxy.state.endpoints.pools["seats-0"]  # type: ignore[union-attr]
             for _ in range(6):
                 pool.note_busy()
                 await trio.sleep(0.2)
-            caller = await world.call(box, "primary")
+            caller = await world.open_session(box, "primary")
             started = trio.current_time()
-            assert (await caller.ask("READ seat2"))[0] == "ROW none"
+            assert (await caller.execute("READ seat2"))[0] == "ROW none"
             assert trio.current_time() - started < 0.1
 
         run_in_world(scenario)
@@ -150,14 +150,14 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             box = world.boxes["box-1"]
-            callers = [await world.call(box, "primary") for _ in range(4)]
+            callers = [await world.open_session(box, "primary") for _ in range(4)]
             group.primary.busy_answers = 3
             pool = box.process.proxy.state.endpoints.pools["seats-0"]  # type: ignore[union-attr]
             async with trio.open_nursery() as nursery:
                 for caller in callers:
-                    nursery.start_soon(caller.ask, "READ seat1")
+                    nursery.start_soon(caller.execute, "READ seat1")
             assert pool._limit.places(10) < 10
-            assert (await callers[0].ask("READ seat1"))[0] == "ROW none"
+            assert (await callers[0].execute("READ seat1"))[0] == "ROW none"
 
         run_in_world(scenario)
 
@@ -168,12 +168,12 @@
             world.groups[0].work_s = 0.2
             box = world.boxes["box-1"]
             pool = box.process.proxy.state.endpoints.pools["seats-0"]  # type: ignore[union-attr]
-            callers = [await world.call(box, "primary") for _ in range(12)]
+            callers = [await world.open_session(box, "primary") for _ in range(12)]
             took_s: dict[bool, list[float]] = {True: [], False: []}
 
             async def read_timed(caller: Caller) -> None:
                 started = trio.current_time()
-                answer = await caller.ask("READ seat1")
+                answer = await caller.execute("READ seat1")
                 took_s[answer[0] == "ROW none"].append(trio.current_time() - started)
 
             for _ in range(20):
@@ -233,13 +233,13 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             box = world.boxes["box-1"]
-            callers = [await world.call(box, "primary") for _ in range(3)]
+            callers = [await world.open_session(box, "primary") for _ in range(3)]
             async with trio.open_nursery() as nursery:
                 for caller in callers:
-                    nursery.start_soon(caller.ask, "READ seat1")
+                    nursery.start_soon(caller.execute, "READ seat1")
             opened = group.primary.opened
             group.work_s = 0.7
-            assert (await callers[0].ask("READ seat1"))[0] == "ROW none"
+            assert (await callers[0].execute("READ seat1"))[0] == "ROW none"
             assert group.primary.opened == opened
 
         run_in_world(scenario)
@@ -248,12 +248,14 @@
         async def scenario(world: World) -> None:
             group = world.groups[0]
             callers = [
-                await world.call(box, "primary") for box in world.boxes.values() for _ in range(12)
+                await world.open_session(box, "primary")
+                for box in world.boxes.values()
+                for _ in range(12)
             ]
 
             async def work(number: int) -> None:
                 for step in range(6):
-                    answer = await callers[number].ask(f"WRITE seat{number} guest{step}")
+                    answer = await callers[number].execute(f"WRITE seat{number} guest{step}")
                     assert answer[0] == "ROW written", answer
 
             async with trio.open_nursery() as nursery:
@@ -276,9 +278,9 @@
 @pytest.mark.parametrize("text", ["", "SELECT 1", "WRITE", "SET x", "PREPARE s FROM y", "EXECUTE"])
 def test_an_invalid_statement_gets_a_clear_error(text: str) -> None:
     async def scenario(world: World) -> None:
-        caller = await world.call(world.boxes["box-1"], "primary")
-        assert (await caller.ask(text))[0].startswith("ERROR MALFORMED ")
-        assert (await caller.ask("READ seat1"))[0] == "ROW none"
+        caller = await world.open_session(world.boxes["box-1"], "primary")
+        assert (await caller.execute(text))[0].startswith("ERROR MALFORMED ")
+        assert (await caller.execute("READ seat1"))[0] == "ROW none"
 
     run_in_world(scenario, boxes=1)
 
@@ -288,20 +290,20 @@
         async def scenario(world: World) -> None:
             for server in world.groups[0].servers:
                 server.lose_answers = 10
-            caller = await world.call(world.boxes["box-1"], "primary")
-            assert (await caller.ask("READ seat1"))[0].startswith("ERROR ABORTED ")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            assert (await caller.execute("READ seat1"))[0].startswith("ERROR ABORTED ")
 
         run_in_world(scenario)
 
     def test_a_malformed_text_leaves_the_transaction_as_it_was(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
-            refused = await caller.ask("SELECT")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
+            refused = await caller.execute("SELECT")
             assert refused[0].startswith("ERROR MALFORMED ") and refused[-1] == "READY T -"
-            await caller.ask("COMMIT")
-            assert (await caller.ask("READ seat1"))[0] == "ROW anna"
+            await caller.execute("COMMIT")
+            assert (await caller.execute("READ seat1"))[0] == "ROW anna"
 
         run_in_world(scenario)
 
--- a/wharftiller/tests/platform/test_workspaces.py
+++ b/wharftiller/tests/platform/test_workspaces.py
@@ -66,10 +66,10 @@
     def test_endpoints_receive_the_workspace_of_every_statement(self) -> None:
         async def scenario(world: World) -> None:
             for number, (key, name) in enumerate([(RILA, "rila"), (VITOSHA, "vitosha")] * 3):
-                caller = await world.call(first_box(world), "read_own_writes", key=key)
+                caller = await world.open_session(first_box(world), "read_own_writes", key=key)
                 for kind, text in [("w", "WRITE seat1 anna"), ("r", "READ seat1")]:
                     request_id = f"{kind}{number}"
-                    assert "COMPLETE" in (await caller.ask(text, request_id))[1]
+                    assert "COMPLETE" in (await caller.execute(text, request_id))[1]
                     assert server_that_ran(world, request_id).client_by_request[request_id] == name
 
         run_with_workspaces(scenario)
@@ -78,19 +78,19 @@
         async def scenario(world: World) -> None:
             box = others_in(world, "a")[0]
             for key, name in [(RILA, "rila"), (VITOSHA, "vitosha"), (RILA, "rila")]:
-                caller = await world.call(box, "primary", key=key)
-                await caller.ask("BEGIN")
+                caller = await world.open_session(box, "primary", key=key)
+                await caller.execute("BEGIN")
                 request_id = f"{name}-in-transaction"
-                assert (await caller.ask("WRITE seat1 anna", request_id))[0] == "ROW written"
+                assert (await caller.execute("WRITE seat1 anna", request_id))[0] == "ROW written"
                 assert server_that_ran(world, request_id).client_by_request[request_id] == name
-                assert (await caller.ask("COMMIT"))[0].startswith("COMPLETE")
+                assert (await caller.execute("COMMIT"))[0].startswith("COMPLETE")
                 caller.close()
 
         run_with_workspaces(scenario, boxes=9, max_connections=10)
 
     def test_an_unknown_key_opens_no_session(self) -> None:
         async def scenario(world: World) -> None:
-            _, line = await world.knock(first_box(world), "primary", key="garbage")
+            _, line = await world.request_session(first_box(world), "primary", key="garbage")
             assert line is not None
             assert line.startswith("ERROR NOAUTH")
 
@@ -103,9 +103,9 @@
                 route["AuthExempt"] = route["Kind"] == "bounded_staleness"
             world.store.set("config", "main", document)
             await trio.sleep(IN_FORCE_S)
-            caller = await world.call(first_box(world), "bounded_staleness", key="anybody")
-            assert (await caller.ask("READ seat1"))[0].startswith("ROW")
-            _, line = await world.knock(first_box(world), "primary", key="anybody")
+            caller = await world.open_session(first_box(world), "bounded_staleness", key="anybody")
+            assert (await caller.execute("READ seat1"))[0].startswith("ROW")
+            _, line = await world.request_session(first_box(world), "primary", key="anybody")
             assert str(line).startswith("ERROR NOAUTH")
 
         run_with_workspaces(scenario)
@@ -137,14 +137,16 @@
 class TestKeyChanges:
     def test_a_revoked_key_runs_nothing_once_the_version_is_in_force(self) -> None:
         async def scenario(world: World) -> None:
-            callers = [await world.call(box, "primary", key=RILA) for box in world.boxes.values()]
+            callers = [
+                await world.open_session(box, "primary", key=RILA) for box in world.boxes.values()
+            ]
             world.configure(3, Tenants=[tenant("rila", PIRIN), tenant("vitosha", VITOSHA)])
             await trio.sleep(IN_FORCE_S)
             for number, caller in enumerate(callers):
-                lines = await caller.ask("READ seat1", f"late-{number}")
+                lines = await caller.execute("READ seat1", f"late-{number}")
                 assert lines[0].startswith("ERROR NOAUTH"), lines
                 assert lines[-1].startswith("READY I")
-                assert (await caller.ask("BEGIN"))[0].startswith("ERROR NOAUTH")
+                assert (await caller.execute("BEGIN"))[0].startswith("ERROR NOAUTH")
             assert not any(
                 each.client_by_request.keys() & {"late-0"} for each in world.groups[0].servers
             )
@@ -153,23 +155,23 @@
 
     def test_an_open_transaction_ends_under_the_workspace_it_began_with(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(first_box(world), "primary", key=RILA)
-            await caller.ask("BEGIN")
-            await caller.ask("WRITE seat1 anna")
+            caller = await world.open_session(first_box(world), "primary", key=RILA)
+            await caller.execute("BEGIN")
+            await caller.execute("WRITE seat1 anna")
             world.configure(3, Tenants=[tenant("vitosha", VITOSHA)])
             await trio.sleep(2.0)
-            assert (await caller.ask("COMMIT"))[0].startswith("COMPLETE")
-            assert (await caller.ask("READ seat1"))[0].startswith("ERROR NOAUTH")
+            assert (await caller.execute("COMMIT"))[0].startswith("COMPLETE")
+            assert (await caller.execute("READ seat1"))[0].startswith("ERROR NOAUTH")
 
         run_with_workspaces(scenario)
 
     def test_an_open_session_follows_a_key_that_changes_workspaces(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(first_box(world), "primary", key=RILA)
-            await caller.ask("WRITE seat1 anna", "before")
+            caller = await world.open_session(first_box(world), "primary", key=RILA)
+            await caller.execute("WRITE seat1 anna", "before")
             world.configure(3, Tenants=[tenant("rila"), tenant("vitosha", VITOSHA, RILA)])
             await trio.sleep(IN_FORCE_S)
-            await caller.ask("WRITE seat1 boris", "after")
+            await caller.execute("WRITE seat1 boris", "after")
             client_by_request = world.groups[0].primary.client_by_request
             assert (client_by_request["before"], client_by_request["after"]) == ("rila", "vitosha")
 
@@ -180,8 +182,8 @@
             world.configure(3, Tenants=[*TENANTS, tenant("pirin", PIRIN)])
             await trio.sleep(IN_FORCE_S)
             for box in world.boxes.values():
-                caller = await world.call(box, "primary", key=PIRIN)
-                assert (await caller.ask("WRITE seat1 anna"))[0] == "ROW written"
+                caller = await world.open_session(box, "primary", key=PIRIN)
+                assert (await caller.execute("WRITE seat1 anna"))[0] == "ROW written"
 
         run_with_workspaces(scenario, boxes=9, max_connections=10)
 
@@ -191,11 +193,11 @@
         async def scenario(world: World) -> None:
             garbage = "garbage-key-1c2d"
             for box in world.boxes.values():
-                caller = await world.call(box, "primary", key=RILA)
-                await caller.ask("WRITE seat1 anna")
-                await caller.ask("nonsense")
-                await world.knock(box, "primary", key=garbage)
-                await world.knock(box, "nowhere", key=VITOSHA)
+                caller = await world.open_session(box, "primary", key=RILA)
+                await caller.execute("WRITE seat1 anna")
+                await caller.execute("nonsense")
+                await world.request_session(box, "primary", key=garbage)
+                await world.request_session(box, "nowhere", key=VITOSHA)
             world.configure(3, Tenants=[tenant("rila", RILA), tenant("vitosha", RILA)])
             await trio.sleep(IN_FORCE_S)
             texts = [bytes(box.lines).decode() for box in world.boxes.values()]
--- a/wharftiller/tests/platform/world.py
+++ b/wharftiller/tests/platform/world.py
@@ -74,7 +74,7 @@
         self._buffer = b""
         self._statements_sent = 0
 
-    async def line(self) -> str | None:
+    async def read_line(self) -> str | None:
         """Return the next line, or None if the box has closed the connection."""
         while b"\r\n" not in self._buffer:
             try:
@@ -91,13 +91,13 @@
         """Send bytes unchanged."""
         await self._stream.send_all(data)
 
-    async def ask(self, text: str, request_id: str | None = None) -> list[str]:
+    async def execute(self, text: str, request_id: str | None = None) -> list[str]:
         """Execute a statement and return the lines of the reply."""
         self._statements_sent += 1
         request_id = request_id or f"{id(self):x}{self._statements_sent}"
         await self.send(f"QUERY {request_id} {text}\r\n".encode())
         lines: list[str] = []
-        while (line := await self.line()) is not None:
+        while (line := await self.read_line()) is not None:
             lines.append(line)
             if line.startswith("READY"):
                 break
@@ -116,7 +116,7 @@
     ip: str
     process: PlatformProcess
     scope: trio.CancelScope
-    told: trio.Event
+    stop_requested: trio.Event
     lines: bytearray = attrs.field(factory=bytearray)
     ended: trio.Event = attrs.field(factory=trio.Event)
 
@@ -219,7 +219,7 @@
     async def _run_box(self, box: BoxProcess) -> None:
         try:
             with box.scope:
-                await box.process.serve(box.told.wait)
+                await box.process.serve(box.stop_requested.wait)
         finally:
             box.ended.set()
 
@@ -243,20 +243,20 @@
         """Write a new version of the operator's configuration into the store."""
         self.store.set("config", "main", configuration(version, self.groups, **changes))
 
-    async def knock(
+    async def request_session(
         self, box: BoxProcess, kind: str, group: str = GROUP, key: str = "desk"
     ) -> tuple[Caller, str | None]:
         """Request a session; return the caller and the first line of the reply."""
         stream = await self.network.host("10.8.0.1").connect(f"{box.ip}:1")
         caller = Caller(stream)
         await caller.send(f"CONNECT {group}-{kind} {key}\r\n".encode())
-        return caller, await caller.line()
+        return caller, await caller.read_line()
 
-    async def call(
+    async def open_session(
         self, box: BoxProcess, kind: str, group: str = GROUP, key: str = "desk"
     ) -> Caller:
         """Open a session; fails unless the box accepts it."""
-        caller, line = await self.knock(box, kind, group, key)
+        caller, line = await self.request_session(box, kind, group, key)
         assert line == "READY I -"
         return caller
 
@@ -306,16 +306,16 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def write_until_done(caller: Caller, text: str, within_s: float) -> float:
+async def write_until_acknowledged(caller: Caller, text: str, within_s: float) -> float:
     """Repeat a write until it is acknowledged; return the time taken, in seconds."""
     started = trio.current_time()
     with trio.fail_after(within_s):
-        while not (await caller.ask(text))[0].startswith("ROW written"):
+        while not (await caller.execute(text))[0].startswith("ROW written"):
             await trio.sleep(0.1)
     return trio.current_time() - started
 
 
-def fences_rise(world: World) -> bool:
+def fences_never_decrease(world: World) -> bool:
     """Return whether the fences of promotions never decrease."""
     fences = [fence for group in world.groups for _, _, fence in group.promotions]
     return fences == sorted(fences)
--- a/wharftiller/tests/soak/callers.py
+++ b/wharftiller/tests/soak/callers.py
@@ -87,9 +87,9 @@
         try:
             with trio.fail_after(CONNECT_TIMEOUT_S):
                 await caller.send(f"CONNECT {self._group}-{self._consistency} soak\r\n".encode())
-                if await caller.line() != "READY I -":
+                if await caller.read_line() != "READY I -":
                     return False
-                reply = await caller.ask(f"SET who caller{self._number}")
+                reply = await caller.execute(f"SET who caller{self._number}")
         except (OSError, trio.TooSlowError, trio.BrokenResourceError):
             return False
         return reply[:1] == ["COMPLETE -"]
@@ -112,7 +112,7 @@
         lines: list[str] = []
         try:
             with trio.fail_after(REPLY_TIMEOUT_S):
-                lines = await self._caller.ask(text, request)
+                lines = await self._caller.execute(text, request)
         except (OSError, trio.TooSlowError, trio.BrokenResourceError):
             self._deployment.history.findings.append(
                 f"{request} got no reply within {REPLY_TIMEOUT_S} s"
--- a/wharftiller/tests/test_request_timeline.py
+++ b/wharftiller/tests/test_request_timeline.py
@@ -55,9 +55,9 @@
 
     def test_every_failed_request_of_a_real_run_is_logged(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             world.kill_server(world.groups[0].primary)
-            answer = await caller.ask("WRITE seat1 anna", "r-lost")
+            answer = await caller.execute("WRITE seat1 anna", "r-lost")
             assert answer[0].startswith("ERROR")
             lines = bytes(world.boxes["box-1"].lines).decode().splitlines()
             world.boxes["box-1"].log()
--- a/wharftiller/tests/test_run_report.py
+++ b/wharftiller/tests/test_run_report.py
@@ -103,10 +103,10 @@
 
     def test_every_refusal_of_a_run_names_its_cause(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             world.kill_server(world.groups[0].primary)
             for number in range(20):
-                await caller.ask(f"WRITE seat{number} x")
+                await caller.execute(f"WRITE seat{number} x")
                 await trio.sleep(0.1)
             lines = [json.dumps(each) for other in world.boxes.values() for each in other.log()]
             causes = {loss.cause for loss in report_of(read_events(lines)).losses if loss.refused}
@@ -129,11 +129,11 @@
     def test_the_logs_of_a_run_make_a_report(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
-            reader = await world.call(box, "bounded_staleness")
-            await caller.ask("READ seat1")
+            caller = await world.open_session(box, "primary")
+            reader = await world.open_session(box, "bounded_staleness")
+            await caller.execute("READ seat1")
             for _ in range(300):
-                await reader.ask("READ seat1")
+                await reader.execute("READ seat1")
             world.kill_server(world.groups[0].primary)
             await trio.sleep(6)
             lines = [json.dumps(each) for other in world.boxes.values() for each in other.log()]
