--- a/benchmarks/sessions/callers.py
+++ b/benchmarks/sessions/callers.py
@@ -103,7 +103,7 @@
                 session.caller = await self._open(session)
             is_write = self._random.random() < WRITE_FRACTIONS[session.consistency]
             text = f"{'WRITE' if is_write else 'READ'} thing{self._random.randrange(500)}"
-            lines = await session.caller.ask(f"{text} x" if is_write else text)
+            lines = await session.caller.execute(f"{text} x" if is_write else text)
             is_complete = bool(lines) and lines[-1].startswith("READY")
         except (ExchangeError, trio.BrokenResourceError, trio.ClosedResourceError):
             return "failed"
@@ -121,6 +121,6 @@
         stream = await self._balancer.connect(session.data_centre)
         caller = Caller(stream)
         await caller.send(f"CONNECT {session.group}-{session.consistency} desk\r\n".encode())
-        if await caller.line() != "READY I -":
+        if await caller.read_line() != "READY I -":
             raise ExchangeError("the box refused the session; connect to another")
         return caller
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -26,8 +26,8 @@
 from wharftiller.core.configuration_changes import (
     ConfigurationChange,
     ConfigurationHolder,
+    apply_change,
     change_between,
-    changed,
 )
 from wharftiller.core.messages import ConfigurationArrived, Report
 from wharftiller.core.steward import StewardCore
@@ -121,7 +121,9 @@
     change = holder.change_since(1)
     wire = orjson.dumps(to_json(change))
     forward_s = _cpu_s(lambda: orjson.dumps(to_json(holder.change_since(1))), 20)
-    read_s = _cpu_s(lambda: changed(old, from_peer(orjson.loads(wire), ConfigurationChange)), 5)
+    read_s = _cpu_s(
+        lambda: apply_change(old, from_peer(orjson.loads(wire), ConfigurationChange)), 5
+    )
     return {
         "change bytes sent": float(len(wire)),
         "change seconds to take per group known": apply_s / GROUPS,
@@ -181,7 +183,9 @@
         async def change() -> None:
             started[0] = trio.current_time()
             rule = {"max_age_ms": 777}
-            await world.intend({"kind": "change_pool", "name": "tourdesk", "read_rule": rule})
+            await world.plan_and_confirm(
+                {"kind": "change_pool", "name": "tourdesk", "read_rule": rule}
+            )
 
         async def replace() -> None:
             started[0] = trio.current_time()
--- a/wharftiller/core/proxy.py
+++ b/wharftiller/core/proxy.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from wharftiller.core import admission, answers, lifecycle, membership, transactions
+from wharftiller.core.connection_shares import apply_box_list
 from wharftiller.core.dispatch import (
     close_connection,
     dispatch,
@@ -32,7 +33,6 @@
 from wharftiller.core.reasons import Reason, ReasonKind
 from wharftiller.core.reports import apply_report, heartbeat, release_lane
 from wharftiller.core.routing import reroute_replica_lookups
-from wharftiller.core.shares import apply_box_list
 from wharftiller.core.tables import ConnectionRow, ConnectionState, Phase, RequestRow, Tables
 
 if TYPE_CHECKING:
@@ -275,7 +275,7 @@
         transactions.close_overdue(self._tables, now)
         heartbeat(self._tables, now)
         trim_connections(self._tables, now)
-        membership.forget_removed(self._tables)
+        membership.remove_unconfigured(self._tables)
         for group in self._tables.groups.values():
             self._abandon_deposed(group, now)
             self._advance_checks(group, now)
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -248,7 +248,7 @@
             self._runner.read_timeouts.run,
             self._gateway_client.watch_gateways,
             self._executor.run_maintenance,
-            self._log.flush_for_ever,
+            self._log.flush_periodically,
         ):
             self._nursery.start_soon(task)
 
--- a/wharftiller/tests/fakes/world.py
+++ b/wharftiller/tests/fakes/world.py
@@ -44,8 +44,8 @@
     boxes: int = 3
     data_centres: int = 3
     businesses: tuple[str, ...] = ("rila", "pirin", "vitosha", "musala")
-    between_s: float = 0.0015
-    client_s: float = 0.003
+    data_centre_latency_s: float = 0.0015
+    client_latency_s: float = 0.003
     max_connections: int = 25
     list_lag_s: float = 0.2
     service_ms: float = 1.0
@@ -124,11 +124,11 @@
         if a == b:
             return 0.00005
         if CLIENT in (a, b):
-            return self.size.client_s
+            return self.size.client_latency_s
         if PLATFORM in (a, b):
-            return self.size.between_s
+            return self.size.data_centre_latency_s
         same = self.data_centre_of.get(a) == self.data_centre_of.get(b)
-        return 0.0002 if same else self.size.between_s
+        return 0.0002 if same else self.size.data_centre_latency_s
 
     # Starting -----------------------------------------------------------
 
@@ -140,7 +140,7 @@
                 await self._start_endpoint(f"group-{number}-{letter}", data_centre)
         for number in range(1, self.size.boxes + 1):
             self._prepare_box(f"box-{number}", (number - 1) % self.size.data_centres)
-        self.list_boxes()
+        self.set_boxes()
         for box in self.boxes.values():
             await self._start_box(box)
         await self._configure()
@@ -200,8 +200,8 @@
 
         await self.nursery.start(run)
 
-    def list_boxes(self) -> None:
-        self.platform.list_boxes(
+    def set_boxes(self) -> None:
+        self.platform.set_boxes(
             [
                 BoxEntry(box.name, box.settings.box.data_centre, f"{box.ip}:7200", f"{box.ip}:7100")
                 for box in self.boxes.values()
@@ -210,7 +210,7 @@
 
     async def _configure(self) -> None:
         for number in range(1, self.size.groups + 1):
-            await self.intend({"kind": "create_group", "group": self.group_body(number)})
+            await self.plan_and_confirm({"kind": "create_group", "group": self.group_body(number)})
         groups = [f"group-{number}" for number in range(1, self.size.groups + 1)]
         groups_by_business = {
             business: groups[index % len(groups)]
@@ -225,8 +225,8 @@
                 "replica_wait_ms": self.size.replica_wait_ms,
             },
         }
-        await self.intend({"kind": "create_pool", "pool": pool})
-        await self.until(self._all_ready)
+        await self.plan_and_confirm({"kind": "create_pool", "pool": pool})
+        await self.wait_until(self._all_ready)
 
     def group_body(self, number: int) -> dict[str, Any]:
         return {
@@ -256,7 +256,7 @@
 
     # Operators and callers ----------------------------------------------
 
-    async def until(self, condition: Callable[[], bool], timeout_s: float = 20.0) -> None:
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float = 20.0) -> None:
         with trio.fail_after(timeout_s):
             while not condition():
                 await trio.sleep(0.01)
@@ -270,7 +270,7 @@
         await client.aclose()
         return answer.json()
 
-    async def intend(self, intent: dict[str, Any], box: str = "box-1") -> Any:
+    async def plan_and_confirm(self, intent: dict[str, Any], box: str = "box-1") -> Any:
         plan = await self.admin("POST", "/plans", intent, box)
         assert "plan" in plan, plan
         return await self.admin("POST", f"/plans/{plan['plan']}/confirm", None, box)
@@ -306,7 +306,7 @@
     def primary(self, group: int = 1) -> str:
         """Return the server that is primary in the highest term."""
         names = [f"group-{group}-{letter}" for letter in "abc"]
-        return max(names, key=lambda name: self.endpoints[name].database.leads_in)
+        return max(names, key=lambda name: self.endpoints[name].database.leading_term)
 
     def kill_box(self, name: str) -> None:
         self.boxes[name].scope.cancel()
@@ -318,7 +318,7 @@
         old = self.boxes.pop(name)
         self._prepare_box(name, self.data_centre_of[old.ip], trace)
         await self._start_box(self.boxes[name])
-        self.list_boxes()
+        self.set_boxes()
         return self.boxes[name]
 
 
--- a/wharftiller/tests/test_run_report.py
+++ b/wharftiller/tests/test_run_report.py
@@ -65,10 +65,10 @@
         assert (share.reading, share.by_replicas, share.by_primaries) == ("BoundedReads", 2, 1)
 
     def test_a_change_is_timed_from_silence_and_from_the_decision(self, report: RunReport) -> None:
-        (change,) = report.changes
-        assert (change.old, change.successor) == ("one", "two")
-        assert change.silent_s == pytest.approx(1.8)
-        assert change.change_s == pytest.approx(0.8)
+        (failover,) = report.failovers
+        assert (failover.old, failover.successor) == ("one", "two")
+        assert failover.silent_s == pytest.approx(1.8)
+        assert failover.failover_s == pytest.approx(0.8)
 
     def test_two_groups_moved_in_one_record_are_two_changes(self) -> None:
         events = [
@@ -78,8 +78,8 @@
             line(1.4, "promotion_ordered", group="tours", endpoint="four", ok=True),
             line(1.8, "record_written", revision=4),
         ]
-        changes = report_of(read_events(events)).changes
-        assert [change.group for change in changes] == ["seats", "tours"]
+        failovers = report_of(read_events(events)).failovers
+        assert [failover.group for failover in failovers] == ["seats", "tours"]
 
     def test_refusals_are_counted_by_time_and_reason(self, report: RunReport) -> None:
         assert report.refusals == {(4.0, "no_capacity"): 2}
@@ -97,16 +97,16 @@
         assert report_of(read_events(events)).losses == [
             Loss(4.0, "change_of_primary", late=1),
             Loss(4.0, "outcome_unknown", unknown=1),
-            Loss(4.0, "primary_silent", refused=2, too_early=1),
+            Loss(4.0, "primary_silent", refused=2, before_failover=1),
             Loss(6.0, "not logged", refused=7),
         ]
 
     def test_every_refusal_of_a_run_names_its_cause(self) -> None:
         async def scenario(world: World) -> None:
-            caller = await world.call(world.boxes["box-1"], "primary")
+            caller = await world.open_session(world.boxes["box-1"], "primary")
             world.kill_server(world.groups[0].primary)
             for number in range(20):
-                await caller.ask(f"WRITE seat{number} x")
+                await caller.execute(f"WRITE seat{number} x")
                 await trio.sleep(0.1)
             lines = [json.dumps(each) for other in world.boxes.values() for each in other.log()]
             causes = {loss.cause for loss in report_of(read_events(lines)).losses if loss.refused}
@@ -129,17 +129,17 @@
     def test_the_logs_of_a_run_make_a_report(self) -> None:
         async def scenario(world: World) -> None:
             box = world.boxes["box-1"]
-            caller = await world.call(box, "primary")
-            reader = await world.call(box, "bounded_staleness")
-            await caller.ask("READ seat1")
+            caller = await world.open_session(box, "primary")
+            reader = await world.open_session(box, "bounded_staleness")
+            await caller.execute("READ seat1")
             for _ in range(300):
-                await reader.ask("READ seat1")
+                await reader.execute("READ seat1")
             world.kill_server(world.groups[0].primary)
             await trio.sleep(6)
             lines = [json.dumps(each) for other in world.boxes.values() for each in other.log()]
             report = report_of(read_events(lines))
             assert [share.reading for share in report.reads] == ["BoundedReads"]
             assert report.reads[0].by_replicas > 0
-            assert [change.planned for change in report.changes] == [False]
+            assert [failover.planned for failover in report.failovers] == [False]
 
         run_in_world(scenario)
