--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -214,12 +214,12 @@
         is_reachable = False
         queried = self._gateways.other_gateways_of([group])
 
-        async def query_boxes() -> None:
+        async def check_reachable() -> None:
             nonlocal is_reachable
             is_reachable = await self._is_reachable_elsewhere(group, old, queried)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(query_boxes)
+            nursery.start_soon(check_reachable)
             candidates = await self._successors.candidates(group, old)
         row = self._state.endpoints.rows.get(old)
         names = self._directory.boxes if queried is None else [box.name for box in queried]
@@ -246,7 +246,7 @@
     async def _is_reachable_elsewhere(
         self, group: str, endpoint: str, queried: list[Box] | None
     ) -> bool:
-        await self._directory.renew_leases(check=(endpoint,), among=queried)
+        await self._directory.query_boxes(check=(endpoint,), among=queried)
         reaching = [
             n for n, reply in self._directory.replies.items() if endpoint in reply.reachable
         ]
@@ -286,7 +286,7 @@
         """Query the box that holds a failover, to learn whether it runs and in which process."""
         box = self._directory.boxes.get(name)
         among = [] if box is None else [box]
-        await self._directory.renew_leases(no_older_than_s=TAKE_OVER_POLL_S, among=among)
+        await self._directory.query_boxes(no_older_than_s=TAKE_OVER_POLL_S, among=among)
 
     def _holder_restarted(self, holder: str) -> bool:
         """Return whether the holder's box now runs another process."""
--- a/wharftiller/daemons/sessions/leadership/lease_revocation.py
+++ b/wharftiller/daemons/sessions/leadership/lease_revocation.py
@@ -80,7 +80,7 @@
 
     async def _wait_beside_unresponsive(self, won_at: float, others: dict[str, Box]) -> None:
         """Delay the release by the others for most of the wait for unresponsive boxes."""
-        await self._directory.renew_leases()
+        await self._directory.query_boxes()
         if others.keys() - self._directory.replies.keys():
             await trio.sleep_until(won_at + LEASE_S - RELEASE_BEFORE_END_S)
 
--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -1,8 +1,9 @@
-"""Requests to other boxes: lease renewal and release, notifications, state.
+"""Requests to other boxes: queries, release of leases, notifications, state.
 
-A renewal is one request to every other box. Its replies carry the newest revision of
+A query is one request to each of several boxes. Its replies carry the newest revision of
 the record, the versions of configuration and endpoints, log positions of primaries
-with their age, and the primaries that the box can reach.
+with their age, and the primaries that the box can reach. Leases are renewed by querying
+every other box.
 """
 
 from __future__ import annotations
@@ -41,10 +42,10 @@
 """Time between lease renewals, in seconds: a lease of 6 s survives four failed ones."""
 
 REPLIES_KEPT_S = 5.0
-"""Age up to which the replies of a renewal show which boxes are alive, in seconds."""
+"""Age up to which the replies to a query show which boxes are alive, in seconds."""
 
 RENEWAL_TIMEOUT_S = 0.7
-"""Timeout of a renewal request, in seconds."""
+"""Timeout of a query or a notification, in seconds."""
 
 RELEASE_TIMEOUT_S = 1.5
 """Timeout of a request to release leases, in seconds; in-flight writes may end first."""
@@ -58,7 +59,7 @@
 
 @attrs.frozen
 class BoxReply:
-    """One box's reply to a renewal.
+    """One box's reply to a query.
 
     Attributes
     ----------
@@ -84,8 +85,8 @@
         Every box; replaced whenever it changes.
     listed_since : float or None
         When this process first read its own entry in the list of boxes, in seconds.
-    renewal_sent_at : float
-        When the last renewal was sent, in seconds.
+    queried_at : float
+        When other boxes were last queried, in seconds.
     platform_answers : bool
         Whether this box's last read of the platform succeeded.
     platform_read_at : float
@@ -103,7 +104,7 @@
         self._replies: dict[str, BoxReply] = {}
         self._responding: set[str] = set()
         self.listed_since: float | None = None
-        self.renewal_sent_at = -math.inf
+        self.queried_at = -math.inf
         self.platform_answers = False
         self.platform_read_at = -math.inf
 
@@ -114,8 +115,8 @@
 
     @property
     def replies(self) -> dict[str, BoxReply]:
-        """The replies to the last renewal; empty if it is older than `REPLIES_KEPT_S`."""
-        if trio.current_time() - self.renewal_sent_at > REPLIES_KEPT_S:
+        """The replies to the last query; empty if it is older than `REPLIES_KEPT_S`."""
+        if trio.current_time() - self.queried_at > REPLIES_KEPT_S:
             return {}
         return self._replies
 
@@ -151,33 +152,37 @@
                 listed=listed,
             )
 
-    async def renew_leases(
+    async def query_boxes(
         self,
         *,
         no_older_than_s: float = 0.0,
         check: tuple[str, ...] = (),
         among: list[Box] | None = None,
     ) -> bool:
-        """Send a renewal to every other box; return whether the replies renewed the leases.
+        """Query the other boxes; return whether their replies renewed the leases.
+
+        The request holds this box's name, the revision of its record and the endpoints to
+        check; `replies` keeps the replies. They renew the leases if every box whose reply is
+        needed replied and has read the platform, and the list of boxes is recent.
 
         Parameters
         ----------
         no_older_than_s : float
-            Send nothing and return False if the last renewal began within this time, in seconds.
+            Send nothing and return False if the last query began within this time, in seconds.
         check : tuple of str
             Endpoints that the others probe before they reply, if they had no recent contact.
         among : list of Box or None
-            The boxes to ask instead of all others; their replies renew no lease.
+            The boxes to query instead of all others; their replies renew no lease.
         """
         asked_at = trio.current_time()
-        if asked_at - self.renewal_sent_at < no_older_than_s:
+        if asked_at - self.queried_at < no_older_than_s:
             return False
-        self.renewal_sent_at = asked_at
+        self.queried_at = asked_at
         boxes = dict(self.boxes) if among is None else {box.name: box for box in among}
         replies: dict[str, BoxReply] = {}
 
         async def ask(box: Box) -> None:
-            reply = await self._request_renewal(box, asked_at, check)
+            reply = await self._query(box, asked_at, check)
             if reply is not None:
                 replies[box.name] = reply
 
@@ -201,9 +206,7 @@
         self._responding = self._responding - boxes.keys() | replies.keys()
         self._replies = replies
 
-    async def _request_renewal(
-        self, box: Box, asked_at: float, check: tuple[str, ...]
-    ) -> BoxReply | None:
+    async def _query(self, box: Box, asked_at: float, check: tuple[str, ...]) -> BoxReply | None:
         revision = self._state.leases.record.revision
         request = {"box": self._state.box, "revision": revision, "check": check}
         try:
--- a/wharftiller/daemons/sessions/membership/lease_renewal.py
+++ b/wharftiller/daemons/sessions/membership/lease_renewal.py
@@ -67,7 +67,7 @@
             if self._readers.applies:
                 self._renewed = await self._renew_by_reader()
             elif self._directory.boxes:
-                self._renewed = await self._directory.renew_leases()
+                self._renewed = await self._directory.query_boxes()
                 self._peer_sync.sync_newer()
             with trio.move_on_after(RENEWAL_S):
                 await self._state.check_soon.wait()
@@ -87,5 +87,5 @@
     async def _renew_in_outage(self) -> None:
         """Ask all boxes if this one needs leases; else only those that watch the platform."""
         among = None if self._may_run() else self._readers.watchers()
-        await self._directory.renew_leases(no_older_than_s=RENEWALS_APART_S, among=among)
+        await self._directory.query_boxes(no_older_than_s=RENEWALS_APART_S, among=among)
         self._peer_sync.sync_newer()
