--- a/wharftiller/daemons/sessions/allowances/token_server.py
+++ b/wharftiller/daemons/sessions/allowances/token_server.py
@@ -70,7 +70,7 @@
         self._probed_at: dict[str, float] = {}
 
     @property
-    def served_buckets(self) -> int:
+    def bucket_count(self) -> int:
         """Number of buckets that this box serves."""
         return len(self._allocator)
 
--- a/wharftiller/daemons/sessions/proxy.py
+++ b/wharftiller/daemons/sessions/proxy.py
@@ -261,7 +261,7 @@
         if request.path != "/metrics":
             raise UnknownPathError(f"no {request.path}; the metrics are at /metrics")
         gauges = state_gauges(
-            self.state, self._directory, self.admission, self._token_server.served_buckets
+            self.state, self._directory, self.admission, self._token_server.bucket_count
         )
         page = metrics_page(self.state.metrics, gauges)
         return HttpResponse(200, page)
