--- a/wharftiller/core/sessions/metrics.py
+++ b/wharftiller/core/sessions/metrics.py
@@ -83,7 +83,7 @@
         Statements forwarded to gateways, by gateway and outcome.
     allowances : collections.Counter
         Token requests for workspaces' allowances, by outcome.
-    doors : collections.Counter
+    caller_connections : collections.Counter
         Callers' connections, by outcome of the admission.
     connections : dict of str to ConnectionCounts
         Counters of connections, by endpoint.
@@ -98,7 +98,7 @@
     statements: collections.Counter[tuple[str, str]] = attrs.field(factory=collections.Counter)
     forwarded: collections.Counter[tuple[str, str]] = attrs.field(factory=collections.Counter)
     allowances: collections.Counter[str] = attrs.field(factory=collections.Counter)
-    doors: collections.Counter[str] = attrs.field(factory=collections.Counter)
+    caller_connections: collections.Counter[str] = attrs.field(factory=collections.Counter)
     connections: dict[str, ConnectionCounts] = attrs.field(factory=dict)
     events: collections.Counter[str] = attrs.field(factory=collections.Counter)
 
--- a/wharftiller/daemons/sessions/serving/connection_admission.py
+++ b/wharftiller/daemons/sessions/serving/connection_admission.py
@@ -80,11 +80,11 @@
         self._limiter.set_own_connections(self._open_streams())
         if self._limiter.is_full and not self._make_room(now):
             self._refused += 1
-            self._state.metrics.doors["refused"] += 1
+            self._state.metrics.caller_connections["refused"] += 1
             return None
         caller = CallerConnection()
         self._limiter.add_handshake(caller, now)
-        self._state.metrics.doors["taken"] += 1
+        self._state.metrics.caller_connections["taken"] += 1
         return caller
 
     def _make_room(self, now: float) -> bool:
@@ -94,7 +94,7 @@
         self._limiter.remove(closing)
         closing.shed()
         self._shed += 1
-        self._state.metrics.doors["sent_away"] += 1
+        self._state.metrics.caller_connections["sent_away"] += 1
         return True
 
     def refusal(self) -> str:
--- a/wharftiller/edges/metrics_page.py
+++ b/wharftiller/edges/metrics_page.py
@@ -98,7 +98,7 @@
             "Callers' connections, by what came of them at the door.",
             labels=("outcome",),
         )
-        for outcome, count in self._metrics.doors.items():
+        for outcome, count in self._metrics.caller_connections.items():
             admissions.add_metric((outcome,), count)
         yield admissions
         yield from self._connections()
