--- a/wharftiller/daemons/sessions/membership/boxes.py
+++ b/wharftiller/daemons/sessions/membership/boxes.py
@@ -236,7 +236,7 @@
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadRequestError(
                 f"{box.name} sent a malformed renewal reply: {error!r}; "
-                "run one version on all boxes"
+                "run the same version on all boxes"
             ) from None
 
     def read_age_ms(self) -> int:
