--- a/wharftiller/core/sessions/allowances/shares.py
+++ b/wharftiller/core/sessions/allowances/shares.py
@@ -148,7 +148,7 @@
         return self._own * LENDABLE_FRACTION / max(1, len(self._others))
 
     def resize(self, own: float) -> None:
-        """Own another amount from now on; loans stay what they are until they end."""
+        """Change this data centre's own amount; loans are unaffected."""
         self._own = own
 
     def _presumed_lent(self, other: str, now: float) -> float:
--- a/wharftiller/daemons/sessions/leadership/failover_monitor.py
+++ b/wharftiller/daemons/sessions/leadership/failover_monitor.py
@@ -164,8 +164,8 @@
         writes meanwhile.
         """
         if not self._state.endpoints.rows:
-            # Without the list of endpoints a lost primary cannot be told from an unknown one, and
-            # many boxes that start together would each query all others.
+            # Without the list of endpoints a lost primary looks like an unknown one, and many boxes
+            # that start together would each query all others.
             return
         changed = self._writer.as_holder(record)
         for group, leading in record.groups.items():
--- a/wharftiller/tests/core/sessions/test_routing.py
+++ b/wharftiller/tests/core/sessions/test_routing.py
@@ -105,7 +105,7 @@
         assert self.order(rows, {})[0] != "one"
         assert self.order(rows, {"two": 2, "three": 2})[0] == "one"
 
-    def test_an_open_connection_is_worth_a_statement_of_waiting(self) -> None:
+    def test_an_open_connection_offsets_one_waiting_statement(self) -> None:
         rows = [row("one"), row("two"), row("three")]
         assert self.order(rows, {}, connected=["two"])[0] == "two"
         assert self.order(rows, {"two": 2}, connected=["two"])[0] == "three"
--- a/wharftiller/tests/edges/test_bad_input.py
+++ b/wharftiller/tests/edges/test_bad_input.py
@@ -109,7 +109,7 @@
 
         run_world(scenario)
 
-    def test_unknown_names_are_told_apart(self) -> None:
+    def test_unknown_names_are_distinguished(self) -> None:
         async def scenario(world: World) -> None:
             for fields, reason in (
                 ({"kind": "write", "transaction": "box-1/none"}, "transaction_unknown"),
