--- a/wharftiller/daemons/sessions/membership/readers.py
+++ b/wharftiller/daemons/sessions/membership/readers.py
@@ -297,7 +297,8 @@
             self._state.positions.merge(value["points"], asked_at)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadRequestError(
-                f"{reader.name} sent a malformed reply: {error!r}; run the same version on all boxes"
+                f"{reader.name} sent a malformed reply: {error!r}; "
+                "run the same version on all boxes"
             ) from None
         self._directory.platform_read_at = max(self._directory.platform_read_at, read_at)
         snapshot = PlatformSnapshot(record, dict(self._boxes))
